--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -56,6 +56,7 @@
     TokensArrived,
     TotalsReceived,
 )
+from azureswitch.serving._failover import lose, resend, silent, withdraw
 from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._limited import (
@@ -66,7 +67,6 @@
     note_no_limit,
     take_permit,
 )
-from azureswitch.serving._removal import lose, resend, silent, withdraw
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
 from azureswitch.serving._telling import tell, tell_totals
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_apart.py
@@ -32,8 +32,8 @@
     TargetUnreachable,
     Ticked,
     _attempts,
+    _failover,
     _reduce,
-    _removal,
     _telling,
 )
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
@@ -163,7 +163,7 @@
         monkeypatch.setattr(_attempts, "choose", lambda *args, **more: None)
         for name in (FAULTY, CallId("c3")):
             driver.arrive(model_call(name))
-        monkeypatch.setattr(_attempts, "choose", failing(_removal.choose))
+        monkeypatch.setattr(_attempts, "choose", failing(_failover.choose))
         driver.tick(1.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
         assert [start.call for start in only(StartAttempt, driver.effects)] == ["c3"]
@@ -248,7 +248,7 @@
                 _attempts,
                 "retry",
             ),
-            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _removal, "retry"),
+            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _failover, "retry"),
         ],
     )
     def test_answered(
@@ -317,7 +317,7 @@
         for name in CALLS:
             driver.arrive(model_call(name, tokens=10))
         driver.send(SnapshotAdopted(now=0.0, snapshot=snapshot(revision=2, targets=ENGINES)))
-        monkeypatch.setattr(_removal, step, failing(getattr(_removal, step)))
+        monkeypatch.setattr(_failover, step, failing(getattr(_failover, step)))
         bring(driver, TargetName("e1"))
         driver.tick(3.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
