--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -58,6 +58,7 @@
 )
 from azureswitch.serving._failover import lose, resend, silent, withdraw
 from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
+from azureswitch.serving._gossip import tell, tell_totals
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._limited import (
     answer_permit,
@@ -69,7 +70,6 @@
 )
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
-from azureswitch.serving._telling import tell, tell_totals
 
 TICK = 0.05
 """Seconds between two `Ticked` events."""
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_apart.py
@@ -33,8 +33,8 @@
     Ticked,
     _attempts,
     _failover,
+    _gossip,
     _reduce,
-    _telling,
 )
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from tests.serving.fixtures import Driver, engine, model_call, only, plain_call, snapshot
@@ -97,7 +97,7 @@
 def at_digest(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let fail what is told to peers."""
     patch.setattr(type(driver.state.ledger), "changed", True)
-    patch.setattr(_telling, "_digest", always)
+    patch.setattr(_gossip, "_digest", always)
 
 
 def sent() -> Driver:
