--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -15,7 +15,6 @@
     UnknownModelError,
     UnknownServiceError,
 )
-from azureswitch.serving._allowed import lane_for, limit_refusal
 from azureswitch.serving._cost import MARGIN, Cost
 from azureswitch.serving._events import Call
 from azureswitch.serving._fleet import Pool
@@ -23,6 +22,7 @@
 from azureswitch.serving._spreading import MOST_PARTS
 from azureswitch.serving._state import ServingState
 from azureswitch.serving._target import TargetState
+from azureswitch.serving._throttling import lane_for, limit_refusal
 
 SHORT_QUEUE_SECONDS = 4.0
 """Seconds that a short prompt may be expected to wait here before it is refused."""
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -10,7 +10,6 @@
     RetriesExhaustedError,
     TargetBrokenError,
 )
-from azureswitch.serving._allowed import all_limited, count_held_back, lane_for
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import TargetStart
 from azureswitch.serving._effects import (
@@ -35,6 +34,7 @@
 )
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState, TimerKind
+from azureswitch.serving._throttling import all_limited, count_held_back, lane_for
 
 BLOCK_SECONDS = {Level.SHORT: 0.02, Level.MIDDLE: 0.1, Level.LONG: 0.25}
 """Seconds for which a lane is not looked at again once no target had room for it."""
--- a/src/azureswitch/serving/_limited.py
+++ b/src/azureswitch/serving/_limited.py
@@ -4,7 +4,6 @@
 from functools import partial
 
 from azureswitch.core import Effect
-from azureswitch.serving._allowed import all_limited, seconds_until_permitted
 from azureswitch.serving._attempts import drain_all
 from azureswitch.serving._digests import LimitReport
 from azureswitch.serving._effects import AnnounceLimit, AnswerPermit, AskPermit
@@ -14,6 +13,7 @@
 from azureswitch.serving._limits import safe_rate
 from azureswitch.serving._retries import hold_seconds
 from azureswitch.serving._state import CallRecord, Phase, ServingState
+from azureswitch.serving._throttling import all_limited, seconds_until_permitted
 
 
 def note_limit(state: ServingState, event: LimitNamed) -> list[Effect]:
--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -11,7 +11,6 @@
 
 from azureswitch.core import TargetName
 from azureswitch.inventory import EnginePace
-from azureswitch.serving._allowed import is_limited, is_unheard, permitted
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
 from azureswitch.serving._events import Call
@@ -22,6 +21,7 @@
 from azureswitch.serving._spreading import offer_long
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState, Work
+from azureswitch.serving._throttling import is_limited, is_unheard, permitted
 
 SOUND_SHARE = 0.5
 """Share of the targets that must not have failed lately for the others to be avoided.
