--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -60,7 +60,7 @@
 from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
 from azureswitch.serving._gossip import tell, tell_totals
 from azureswitch.serving._length import Level, level_of
-from azureswitch.serving._limited import (
+from azureswitch.serving._limit_events import (
     answer_permit,
     asks,
     hear_limits,
