--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -60,7 +60,7 @@
     wrong = _wrong(state, call, now=now)
     if wrong is not None:
         return wrong
-    held_back = state.crashes.seconds_left(call, now=now)
+    held_back = state.crashes.quarantine_seconds(call, now=now)
     if held_back:
         return QuarantinedError(seconds=held_back)
     pool = state.fleet.pool(service=call.service, model=call.model)
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -56,7 +56,7 @@
 
 def dispatch(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Send a call to a target, or let it wait for one that has room."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     lane = lane_of(record)
     others = any(True for _ in state.queue.customers(lane))
@@ -201,7 +201,7 @@
     silent = record.attempts.get(number)
     if silent is None or len(record.attempts) > 1 or record.first_token is not None:
         return []
-    if not record.may_run_beside(1) or state.crashes.seconds_left(record.call, now=now):
+    if not record.may_run_beside(1) or state.crashes.quarantine_seconds(record.call, now=now):
         return []
     record.failed.update(silent.targets)
     choice = choose(state, record, now=now)
@@ -381,7 +381,7 @@
 
 def retry(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Try a call again after a pause, or give it up at once where no retry is permitted."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     record.retry_count += 1
     pause = _pause(state, record)
--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -214,7 +214,7 @@
             if fresh:
                 suspect.newest = max(suspect.newest, at)
 
-    def seconds_left(self, call: Call, *, now: float) -> float:
+    def quarantine_seconds(self, call: Call, *, now: float) -> float:
         """Return for how long a call is held back, or zero where it may be sent."""
         if not self._suspects:
             return 0.0
--- a/src/azureswitch/serving/_failover.py
+++ b/src/azureswitch/serving/_failover.py
@@ -143,7 +143,7 @@
     pause = longest_backoff(record.retry_count + 1)
     in_time = now + pause < state.ends_by(record.call)
     more_retries = record.retry_count < MOST_RETRIES and state.retries.permits()
-    held_back = state.crashes.seconds_left(record.call, now=now) > 0.0
+    held_back = state.crashes.quarantine_seconds(record.call, now=now) > 0.0
     return record.may_run_beside(runs) and in_time and more_retries and not held_back
 
 
--- a/src/azureswitch/serving/_giving_up.py
+++ b/src/azureswitch/serving/_giving_up.py
@@ -29,7 +29,7 @@
 
 def end_quarantined(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """End a call under which targets crash, at once; it is sent to no other one."""
-    seconds = state.crashes.seconds_left(record.call, now=now)
+    seconds = state.crashes.quarantine_seconds(record.call, now=now)
     return _refuse(state, record, QuarantinedError(seconds=seconds), now=now)
 
 
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -102,7 +102,7 @@
     effects: list[Effect] = [AnnounceQuarantine(change=change) for change in changes]
     for record in list(state.calls.values()):
         waiting = record.phase in (Phase.WAITING, Phase.BACKING_OFF)
-        if waiting and state.crashes.seconds_left(record.call, now=now):
+        if waiting and state.crashes.quarantine_seconds(record.call, now=now):
             step = partial(end_quarantined, state, record, now=now)
             effects += decide(state, record, step, now=now)
     return effects
--- a/tests/serving/test_crashes.py
+++ b/tests/serving/test_crashes.py
@@ -454,7 +454,7 @@
         """Three crashes quarantine a request, but those of another one or before an answer."""
         crashes = Crashes()
         crashes.hear(reports, now=0.0)
-        assert [name for name in "ab" if crashes.seconds_left(call(name), now=0.0)] == list(
+        assert [name for name in "ab" if crashes.quarantine_seconds(call(name), now=0.0)] == list(
             quarantined
         )
 
@@ -466,7 +466,9 @@
         one.hear(reports, now=0.0)
         two.hear(others, now=0.0)
         for name in "abc":
-            assert one.seconds_left(call(name), now=1.0) == two.seconds_left(call(name), now=1.0)
+            assert one.quarantine_seconds(call(name), now=1.0) == two.quarantine_seconds(
+                call(name), now=1.0
+            )
 
     @pytest.mark.parametrize("targets", [1, 3, 9])
     @pytest.mark.parametrize(("occasions", "seconds"), list(enumerate(HOLD_SECONDS, 1)))
@@ -478,9 +480,11 @@
             known.hear([report("a", lost)], now=20.0 * occasion)
         now = 20.0 * (occasions - 1)
         held = occasions * targets >= 3
-        assert known.seconds_left(call("a"), now=now) == (seconds if held else 0.0)
-        assert known.seconds_left(call("a"), now=now + seconds - 1.0) == (1.0 if held else 0.0)
-        assert not known.seconds_left(call("a"), now=now + seconds)
+        assert known.quarantine_seconds(call("a"), now=now) == (seconds if held else 0.0)
+        assert known.quarantine_seconds(call("a"), now=now + seconds - 1.0) == (
+            1.0 if held else 0.0
+        )
+        assert not known.quarantine_seconds(call("a"), now=now + seconds)
         known.expire(now + QUARANTINE_SECONDS)
         assert not known.quarantined()
 
@@ -492,7 +496,7 @@
             known = Crashes(host=name)
             known.set_hosts(names)
             known.hear([report("a", [1, 2, 3])], now=0.0)
-            left.append(known.seconds_left(call("a"), now=0.0))
+            left.append(known.quarantine_seconds(call("a"), now=0.0))
         left.sort()
         apart = [round(after - before, 3) for before, after in pairwise(left)]
         assert left[0] == HOLD_SECONDS[0]
@@ -508,9 +512,9 @@
                 first.broke_off(call("a"), start, now=20.0 * occasion)
         told = first.tell(now=45.0, regular=True)
         later.hear(told, now=1_045.0)
-        left = first.seconds_left(call("a"), now=45.0)
+        left = first.quarantine_seconds(call("a"), now=45.0)
         assert left == pytest.approx(HOLD_SECONDS[2] - 5.0)
-        assert later.seconds_left(call("a"), now=1_045.0) == pytest.approx(left)
+        assert later.quarantine_seconds(call("a"), now=1_045.0) == pytest.approx(left)
 
     def test_one_try(self) -> None:
         """As it ends one try goes through, and others wait for its outcome."""
@@ -518,13 +522,13 @@
         known.hear([report("a", [1, 2, 3])], now=0.0)
         ended = HOLD_SECONDS[0]
         known.sent(call("a"), now=ended)
-        assert known.seconds_left(call("a"), now=ended + 1.0)
+        assert known.quarantine_seconds(call("a"), now=ended + 1.0)
         start = TargetStart(target=TargetName("e9"), started=1)
         known.broke_off(call("a"), start, now=ended + 2.0)
-        assert known.seconds_left(call("a"), now=ended + 2.0) == HOLD_SECONDS[1]
+        assert known.quarantine_seconds(call("a"), now=ended + 2.0) == HOLD_SECONDS[1]
         known.sent(call("a"), now=200.0)
         known.answered(call("a"))
-        assert not known.seconds_left(call("a"), now=200.0)
+        assert not known.quarantine_seconds(call("a"), now=200.0)
 
     def test_bounded(self) -> None:
         """Of very many requests that broke off those are remembered that did so last."""
@@ -533,5 +537,5 @@
         for number in range(count):
             known.hear([report(f"r{number}", range(6 * number, 6 * number + 6))], now=number)
         assert known.quarantined() == SUSPECTS_MOST
-        assert not known.seconds_left(call("r9"), now=9.0)
-        assert known.seconds_left(call("r10"), now=10.0)
+        assert not known.quarantine_seconds(call("r9"), now=9.0)
+        assert known.quarantine_seconds(call("r10"), now=10.0)
