--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -340,7 +340,7 @@
     _blame(state, record, attempt, event)
     if isinstance(event.error, TargetBrokenError):
         start = TargetStart(target=attempt.targets[0], started=attempt.start)
-        state.crashes.broke_off(record.call, start, now=now)
+        state.crashes.record_crash(record.call, start, now=now)
     if not record.call.repeatable and not refused:
         error = OutcomeLostError()
         return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -167,7 +167,7 @@
         """Take over which hosts live, which try by turns as a request is held back no more."""
         self._hosts = tuple(hosts)
 
-    def broke_off(self, call: Call, start: TargetStart, *, now: float) -> None:
+    def record_crash(self, call: Call, start: TargetStart, *, now: float) -> None:
         """Note that a target broke off as it ran a call."""
         if not call.fingerprint:
             return
--- a/tests/serving/test_crashes.py
+++ b/tests/serving/test_crashes.py
@@ -509,7 +509,7 @@
         for occasion in range(3):
             for target in range(9):
                 start = TargetStart(target=TargetName(f"e{occasion}-{target}"), started=1)
-                first.broke_off(call("a"), start, now=20.0 * occasion)
+                first.record_crash(call("a"), start, now=20.0 * occasion)
         told = first.tell(now=45.0, regular=True)
         later.hear(told, now=1_045.0)
         left = first.quarantine_seconds(call("a"), now=45.0)
@@ -524,7 +524,7 @@
         known.sent(call("a"), now=ended)
         assert known.quarantine_seconds(call("a"), now=ended + 1.0)
         start = TargetStart(target=TargetName("e9"), started=1)
-        known.broke_off(call("a"), start, now=ended + 2.0)
+        known.record_crash(call("a"), start, now=ended + 2.0)
         assert known.quarantine_seconds(call("a"), now=ended + 2.0) == HOLD_SECONDS[1]
         known.sent(call("a"), now=200.0)
         known.answered(call("a"))
