--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -160,7 +160,7 @@
 
     @property
     def touched(self) -> bool:
-        """Whether `look` may have something to tell."""
+        """Whether `pop_changes` may have something to tell."""
         return bool(self._touched)
 
     def set_hosts(self, hosts: Iterable[HostName]) -> None:
@@ -228,7 +228,7 @@
         """Return how many requests are held back."""
         return len(self._quarantined())
 
-    def look(self, *, now: float) -> list[QuarantineChange]:
+    def pop_changes(self, *, now: float) -> list[QuarantineChange]:
         """Return which requests are held back, or for longer, since the last look, or no more."""
         found = []
         for key in self._touched:
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -96,7 +96,7 @@
 
 def _begin_quarantines(state: ServingState, *, now: float) -> list[Effect]:
     """Tell of requests that are held back from now on, and end the calls that wait to be sent."""
-    changes = state.crashes.look(now=now)
+    changes = state.crashes.pop_changes(now=now)
     if not changes:
         return []
     effects: list[Effect] = [AnnounceQuarantine(change=change) for change in changes]
