--- a/src/azureswitch/serving/_failover.py
+++ b/src/azureswitch/serving/_failover.py
@@ -19,7 +19,9 @@
 """Seconds for which an engine whose memory others hold gets no new work."""
 
 
-def silent(state: ServingState, record: CallRecord, number: int, *, now: float) -> list[Effect]:
+def replace_silent(
+    state: ServingState, record: CallRecord, number: int, *, now: float
+) -> list[Effect]:
     """Go on elsewhere with a call whose target writes nothing, where another attempt may follow.
 
     Where none may, the target is waited for until the caller leaves or its deadline comes: engines
@@ -38,7 +40,7 @@
     return effects + retry(state, record, now=now)
 
 
-def lose(state: ServingState, target: TargetName, *, now: float) -> list[Effect]:
+def leave_unreachable(state: ServingState, target: TargetName, *, now: float) -> list[Effect]:
     """Start the attempts at a target that answers no poll any more elsewhere.
 
     A call that may not repeat, or has no further attempt or no other target, stays: its answer may
@@ -62,7 +64,9 @@
     return effects + retry(state, record, now=now)
 
 
-def resend(state: ServingState, targets: frozenset[TargetName], *, now: float) -> list[Effect]:
+def restart_attempts(
+    state: ServingState, targets: frozenset[TargetName], *, now: float
+) -> list[Effect]:
     """Start the attempts at targets that have started again anew, there or elsewhere.
 
     A call that may not repeat stays, and so does one for which no further try is permitted or
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -56,7 +56,12 @@
     TokensArrived,
     TotalsReceived,
 )
-from azureswitch.serving._failover import lose, resend, silent, withdraw
+from azureswitch.serving._failover import (
+    leave_unreachable,
+    replace_silent,
+    restart_attempts,
+    withdraw,
+)
 from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
 from azureswitch.serving._gossip import tell, tell_totals
 from azureswitch.serving._length import Level, level_of
@@ -244,7 +249,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    step = partial(silent, state, record, event.attempt, now=event.now)
+    step = partial(replace_silent, state, record, event.attempt, now=event.now)
     return decide(state, record, step, now=event.now)
 
 
@@ -277,7 +282,7 @@
 @_apply.register
 def _(event: TargetUnreachable, state: ServingState) -> list[Effect]:
     silent = state.fleet.unreachable(event.target, now=event.now)
-    return lose(state, event.target, now=event.now) if silent >= LOST_SECONDS else []
+    return leave_unreachable(state, event.target, now=event.now) if silent >= LOST_SECONDS else []
 
 
 @_apply.register
@@ -371,7 +376,7 @@
 @_apply.register
 def _(event: SnapshotAdopted, state: ServingState) -> list[Effect]:
     restarted = state.adopt(event.snapshot)
-    effects = resend(state, restarted, now=event.now) if restarted else []
+    effects = restart_attempts(state, restarted, now=event.now) if restarted else []
     return effects + drain_all(state, now=event.now)
 
 
