--- a/src/azureswitch/serving/_gossip.py
+++ b/src/azureswitch/serving/_gossip.py
@@ -8,7 +8,7 @@
 from azureswitch.serving._state import ServingState
 
 
-def tell(state: ServingState, *, regular: bool = False, now: float) -> list[Effect]:
+def publish_digest(state: ServingState, *, regular: bool = False, now: float) -> list[Effect]:
     """Tell the others what has changed, or all, in a regular digest."""
     return [_digest(state, regular=regular, now=now)]
 
@@ -47,7 +47,7 @@
     )
 
 
-def tell_totals(state: ServingState) -> list[Effect]:
+def publish_totals(state: ServingState) -> list[Effect]:
     """Tell another failure domain what all have at the targets of this one, in a large fleet."""
     if not state.domains.divided:
         return []
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -63,7 +63,7 @@
     withdraw,
 )
 from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
-from azureswitch.serving._gossip import tell, tell_totals
+from azureswitch.serving._gossip import publish_digest, publish_totals
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._limit_events import (
     answer_permit,
@@ -95,7 +95,10 @@
         effects += beside(partial(_begin_quarantines, state, now=event.now), name="A quarantine")
     effects += asks(state, now=event.now)
     if state.ledger.changed or state.crashes.changed or state.limits.news:
-        effects = [*effects, *beside(partial(tell, state, now=event.now), name="A digest")]
+        effects = [
+            *effects,
+            *beside(partial(publish_digest, state, now=event.now), name="A digest"),
+        ]
     return tuple(effects) or NO_EFFECTS
 
 
@@ -419,8 +422,8 @@
     effects += beside(partial(drain_all, state, now=now), name="The queue")
     effects += beside(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
-        effects += beside(partial(tell, state, regular=True, now=now), name="A digest")
-        effects += beside(partial(tell_totals, state), name="The totals")
+        effects += beside(partial(publish_digest, state, regular=True, now=now), name="A digest")
+        effects += beside(partial(publish_totals, state), name="The totals")
         effects += beside(partial(_expire_slowly, state, now=now), name="Forgetting")
     return effects
 
