--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -137,7 +137,7 @@
     call = record.call
     del state.calls[call.id]
     state.queue.remove(call.id)
-    state.fleet.unsave(call.id)
+    state.fleet.release_memory(call.id)
     effects = cancel_others(state, record)
     if record.phase is Phase.CLAIMING:
         state.abandon_claim(call.id, now=now)
--- a/src/azureswitch/serving/_fleet.py
+++ b/src/azureswitch/serving/_fleet.py
@@ -242,12 +242,12 @@
         if state is not None:
             state.failures = 0
 
-    def save(self, targets: Iterable[TargetName], *, call: CallId, now: float) -> None:
+    def reserve_memory(self, targets: Iterable[TargetName], *, call: CallId, now: float) -> None:
         """Send no more long prompts to targets for a while, so that their memory frees up."""
         for name in targets:
             self._saved[name] = (call, now + SAVE_SECONDS)
 
-    def may_save(self, *, now: float) -> bool:
+    def may_reserve_memory(self, *, now: float) -> bool:
         """Return whether this host may save targets; only one host does at a time.
 
         Of two that began together the one whose name is greater yields.
@@ -257,7 +257,7 @@
                 return False
         return True
 
-    def unsave(self, call: CallId) -> None:
+    def release_memory(self, call: CallId) -> None:
         """Send long prompts again to the targets that were saved for a call."""
         for name in [name for name, (owner, _) in self._saved.items() if owner == call]:
             del self._saved[name]
@@ -266,7 +266,7 @@
         """Return the targets that this host saves."""
         return tuple(sorted(name for name, (_, until) in self._saved.items() if now < until))
 
-    def takes_long(self, target: TargetName, *, call: CallId, now: float) -> bool:
+    def accepts_long_prompts(self, target: TargetName, *, call: CallId, now: float) -> bool:
         """Return whether a target is not saved for another call, here or at a peer."""
         owner, until = self._saved.get(target, (call, 0.0))
         if owner != call and now < until:
--- a/src/azureswitch/serving/_routing.py
+++ b/src/azureswitch/serving/_routing.py
@@ -142,7 +142,7 @@
         return False
     name = target.target.name
     short = record.level is Level.SHORT
-    return short or state.fleet.takes_long(name, call=record.call.id, now=now)
+    return short or state.fleet.accepts_long_prompts(name, call=record.call.id, now=now)
 
 
 def _beside(work: Work, *, running: int) -> float:
--- a/src/azureswitch/serving/_spans.py
+++ b/src/azureswitch/serving/_spans.py
@@ -27,12 +27,14 @@
     states = [state.fleet.state(name) for name in record.pool.targets]
     usable = [t for t in states if t is not None and t.usable(now)]
     usable = [t for t in usable if t.target.name not in record.failed]
-    allowed = [t for t in usable if state.fleet.takes_long(t.target.name, call=call.id, now=now)]
+    allowed = [
+        t for t in usable if state.fleet.accepts_long_prompts(t.target.name, call=call.id, now=now)
+    ]
     fewest = max(2, -(-tokens // max(1, int(record.pool.longest * SPAN_FILL))))
     for count in range(fewest, min(len(allowed), fewest + MORE_MEMBERS) + 1):
         fitting = [t for t in allowed if t.free_tokens() >= -(-tokens // count)]
         if len(fitting) >= count:
-            state.fleet.unsave(call.id)
+            state.fleet.release_memory(call.id)
             return tuple(sorted(t.target.name for t in fitting[:count]))
     _save(state, record, allowed, fewest, now=now)
     return None
@@ -47,10 +49,10 @@
     now: float,
 ) -> None:
     """Keep long prompts off the engines that are nearest to having room."""
-    if not state.fleet.may_save(now=now):
-        state.fleet.unsave(record.call.id)
+    if not state.fleet.may_reserve_memory(now=now):
+        state.fleet.release_memory(record.call.id)
         return
     emptiest = sorted(allowed, key=lambda t: (-t.free_tokens(), t.target.name))[:count]
     saved = [t.target.name for t in emptiest]
-    state.fleet.unsave(record.call.id)
-    state.fleet.save(saved, call=record.call.id, now=now)
+    state.fleet.release_memory(record.call.id)
+    state.fleet.reserve_memory(saved, call=record.call.id, now=now)
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_apart.py
@@ -76,7 +76,7 @@
 
 def at_freeing(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let it fail to free what a call holds, each time that it is tried."""
-    patch.setattr(driver.state.fleet, "unsave", failing(driver.state.fleet.unsave))
+    patch.setattr(driver.state.fleet, "release_memory", failing(driver.state.fleet.release_memory))
 
 
 def at_drain(driver: Driver, patch: pytest.MonkeyPatch) -> None:
