--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -20,7 +20,7 @@
 )
 from azureswitch.serving._ending import beside, cancel_others, decide, finish, observe, release
 from azureswitch.serving._events import AttemptEnd, AttemptEnded, TokensArrived
-from azureswitch.serving._fleet import EJECT_MOST, PACED_EJECT_MOST
+from azureswitch.serving._fleet import MAX_EJECTION_SECONDS, MAX_UNSHARED_EJECTION_SECONDS
 from azureswitch.serving._giving_up import end_quarantined, give_up
 from azureswitch.serving._length import Level, ageing_period, priority
 from azureswitch.serving._queue import Lane
@@ -375,7 +375,7 @@
 def mark_failed(state: ServingState, record: CallRecord, target: TargetName, *, now: float) -> None:
     """Keep a target that failed out of use for a while, and this call away from it."""
     record.failed.add(target)
-    longest = PACED_EJECT_MOST if record.call.unshared else EJECT_MOST
+    longest = MAX_UNSHARED_EJECTION_SECONDS if record.call.unshared else MAX_EJECTION_SECONDS
     state.fleet.failed(target, now=now, longest=longest)
 
 
--- a/src/azureswitch/serving/_fleet.py
+++ b/src/azureswitch/serving/_fleet.py
@@ -19,13 +19,13 @@
 UNREACHABLE_SECONDS = 1.0
 """Seconds for which a target that did not answer a poll gets no new work."""
 
-EJECT_FIRST = 1.0
+FIRST_EJECTION_SECONDS = 1.0
 """Seconds for which a target is avoided after its first failure."""
 
-EJECT_MOST = 30.0
+MAX_EJECTION_SECONDS = 30.0
 """Seconds for which a target is avoided after many failures."""
 
-PACED_EJECT_MOST = 4.0
+MAX_UNSHARED_EJECTION_SECONDS = 4.0
 """The same where connections are made anew for each attempt, so that a wrong guess costs little."""
 
 SAVE_SECONDS = 1.0
@@ -221,7 +221,9 @@
             # However long: a target that is asked again meanwhile cannot recover.
             state.unusable_until = max(state.unusable_until, now + seconds)
 
-    def failed(self, target: TargetName, *, now: float, longest: float = EJECT_MOST) -> None:
+    def failed(
+        self, target: TargetName, *, now: float, longest: float = MAX_EJECTION_SECONDS
+    ) -> None:
         """Prefer other targets for a while, longer with every failure in a row.
 
         Args:
@@ -232,7 +234,7 @@
         state = self._states.get(target)
         if state is not None:
             state.failures += 1
-            pause = min(longest, EJECT_FIRST * 2.0 ** (state.failures - 1))
+            pause = min(longest, FIRST_EJECTION_SECONDS * 2.0 ** (state.failures - 1))
             state.ejected_until = now + pause
             self._suspects[target] = state.ejected_until
 
