--- a/bench/limits.py
+++ b/bench/limits.py
@@ -197,8 +197,8 @@
         return permits.may_send(TARGET, now=now) and self.sends(host, now=now)
 
     def _ask(self, host: int, *, now: float) -> None:
-        self._permits[host].want(TARGET, now=now)
-        for _ in self._permits[host].take_asks():
+        self._permits[host].request(TARGET, now=now)
+        for _ in self._permits[host].pop_asks():
             self.messages += 2
             heappush(self._answers, (now + TRANSIT, next(self._order), host))
 
--- a/src/azureswitch/serving/_limit_events.py
+++ b/src/azureswitch/serving/_limit_events.py
@@ -42,7 +42,7 @@
 def asks(state: ServingState, *, now: float) -> list[Effect]:
     """Ask for the permits that were found missing."""
     effects: list[Effect] = []
-    for target in state.permits.take_asks():
+    for target in state.permits.pop_asks():
         report = state.limits.report(target, now=now)
         if report is not None:
             effects.append(AskPermit(owner=state.permits.owner_of(target), report=report))
--- a/src/azureswitch/serving/_permits.py
+++ b/src/azureswitch/serving/_permits.py
@@ -170,7 +170,7 @@
         if held and held[0].begin <= now:
             held.popleft()
 
-    def want(self, target: TargetName, *, now: float) -> None:
+    def request(self, target: TargetName, *, now: float) -> None:
         """Get a permit: at once where this host is the owner, and else by asking who is."""
         if self._current(target, now=now) or now < self._paused.get(target, 0.0):
             return
@@ -180,7 +180,7 @@
             self._asked[target] = now
             self._asks.append(target)
 
-    def take_asks(self) -> list[TargetName]:
+    def pop_asks(self) -> list[TargetName]:
         """Return the targets of which permits are to be asked for now."""
         asks, self._asks = self._asks, []
         return asks
--- a/src/azureswitch/serving/_throttling.py
+++ b/src/azureswitch/serving/_throttling.py
@@ -39,7 +39,7 @@
     asked = near if allowed and near else held_back
     count = 1 if allowed else ASKED_MOST
     for target in state.random.sample(asked, min(count, len(asked))):
-        state.permits.want(target.target.name, now=now)
+        state.permits.request(target.target.name, now=now)
     # A permit that this host hands out itself is there at once.
     return allowed + [target for target in held_back if _may_send(state, target, now=now)]
 
