--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -1,19 +1,19 @@
-"""Which requests crash the targets that run them, so that no more targets are given to them.
-
-A request whose text crashes each engine that runs it is tried again by its host, by its caller, and
-at other hosts.  So hosts tell each other at which targets each request broke off, whichever try it
-was, and hold a request back under which several targets have crashed.
-
-What ran beside such a request breaks off as well.  A crash therefore counts against the request
-that has broken off at most targets alone, and a request that is answered is cleared of all of its
-crashes.  One that many callers send may have run at each of many targets that were lost together.
-So crashes that come together are one occasion, however many they are: what tells a request that
-crashes targets is that they go on, one after the other, where it goes.  It is held back for some
-seconds after the first occasion and longer after each further one.  As that ends, hosts send a try
-by turns.
-
-All of this follows from what is known, whoever told it in which order, so that hosts that know the
-same decide the same.
+"""Quarantine of requests that crash the targets that run them.
+
+A request whose content crashes every engine that runs it is retried by its host, by its caller, and
+at other hosts.  Hosts therefore gossip at which targets each request was interrupted, over all of
+its attempts, and quarantine a request under which several targets have crashed.
+
+Requests that run on the same target are interrupted too.  A crash therefore counts only against the
+request that was interrupted at the most targets, and a request that is answered is cleared of all
+of its crashes.  A request that many callers send may have run at each of many targets that were
+lost together.  Crashes close in time therefore count as one occasion, however many they are; a
+request that crashes targets is recognized by further crashes that follow wherever it is sent.  It
+is quarantined for some seconds after the first occasion and for longer after each further one.
+When a quarantine ends, hosts retry the request one after the other.
+
+All decisions are functions of the reports known, regardless of their sender and order, so that
+hosts with the same reports decide the same.
 """
 
 from collections import defaultdict
@@ -30,82 +30,83 @@
 from azureswitch.serving._events import Call
 
 NO_HOST = HostName("")
-"""A host that is none of the others, and so tries without waiting for a turn."""
+"""Name of no host: the default, with which a retry waits for no turn."""
 
 CRASHES_MOST = 3
-"""Targets that may crash under a request before it is held back.
+"""Crashed targets after which a request is quarantined.
 
-One or two may end for another reason while it runs there and again where it is retried.
+One or two may fail for another reason, first where it runs and then where it is retried.
 """
 
 TOGETHER_SECONDS = 2.0
-"""Seconds within which crashes are one occasion.
+"""Seconds within which crashes count as one occasion.
 
-Where a failure domain is lost, its targets fall silent within one second of each other.
+The targets of a lost failure domain stop responding within one second of each other.
 """
 
 QUARANTINE_SECONDS = 86_400.0
-"""Seconds for which a request is held back at most; in a day it or the targets can be mended."""
+"""Longest quarantine in seconds; within a day the request or the targets can be fixed."""
 
 HOLD_SECONDS = (4.0, 10.0, 600.0, QUARANTINE_SECONDS)
-"""Seconds after its last crash for which a request is held back, by how many occasions there were.
+"""Seconds of quarantine after a request's last crash, by its number of occasions.
 
-Where many targets are lost together, or once more before any try is answered, what ran there is
-refused for some seconds.
+The first ones are short: requests that ran on targets lost together, also where that happens again
+before one of them is answered, are refused for only some seconds.
 """
 
 TURN_SECONDS = 0.5
-"""Seconds between the tries of two hosts; a target that it crashes falls silent sooner."""
+"""Seconds between the retries of two hosts; a target that crashes stops responding sooner."""
 
 TURNS_MOST = 6
-"""Hosts that have a turn each; callers of the others would wait too long."""
+"""Hosts that retry `TURN_SECONDS` apart; with more, callers of the last would wait too long."""
 
 LATER_TURN_SECONDS = 0.02
-"""Seconds between the tries of all hosts that follow these."""
+"""Seconds between the retries of the hosts after the first `TURNS_MOST`."""
 
 TRIAL_SECONDS = 5.0
-"""Seconds for which a host waits for the outcome of the one try that follows a quarantine."""
+"""Seconds for which a host awaits the outcome of the single retry after a quarantine."""
 
 SUSPECT_SECONDS = 3_600.0
-"""Seconds for which a crash is remembered under a request that is not held back."""
+"""Seconds for which the crashes of a request with too few for a quarantine are remembered."""
 
 SUSPECTS_MOST = 2_048
-"""Requests that are remembered at most; those that broke off longest ago are forgotten first.
+"""Upper bound of requests remembered; those interrupted longest ago are evicted first.
 
-An engine that crashes breaks off as many as it has places.
+A crashing engine interrupts as many requests as it has slots.
 """
 
 TELL_TIMES = 3
-"""Digests that tell of a crash; each may be lost."""
+"""Digests that report a crash; each one may be lost."""
 
 TOLD_CRASHES = CRASHES_MOST + len(HOLD_SECONDS) - 1
-"""Crashes of a request that one digest names, as many as its quarantine depends on."""
+"""Upper bound of crashes reported per request, as many as its quarantine depends on."""
 
 RETOLD_MOST = 16
-"""Requests held back of which each regular digest tells, for hosts that have started since."""
+"""Quarantined requests in each regular digest, for hosts that started after the crashes."""
 
 CLEARED_MOST = 64
-"""Crashes of which a request was cleared that are remembered, and told, at most."""
+"""Upper bound of cleared crashes that are remembered and reported per request."""
 
 
 class RequestKey(NamedTuple):
-    """What tries at the same request have in common."""
+    """Identifies a request over all of its attempts and repetitions."""
 
     customer: CustomerName
     fingerprint: str
 
 
 class _Suspect(Struct, kw_only=True):
-    """A request that has broken off.
+    """A request that was interrupted at a target.
 
     Attributes:
-        newest: When it last did so, in seconds of the monotonic clock.
-        crashes: When it did so at which starts of targets, but those of which it was cleared.
-        cleared: Those of which it was cleared, the last ones last.
-        seen_here: Whether this host saw one of them.
-        occasions: For how many occasions it was held back when this was last looked at, or zero.
-        trial_until: Until when the outcome of a try of this host is waited for.
-        answered_here: Whether a try of this host has cleared it.
+        newest: When it was last interrupted, in seconds of the monotonic clock.
+        crashes: The starts of targets at which it was interrupted, with the time of each; those of
+            which it was cleared are left out.
+        cleared: The crashes of which it was cleared, oldest first.
+        seen_here: Whether this host observed one of its crashes.
+        occasions: Its occasions if it was quarantined at the last `Crashes.pop_changes`, else zero.
+        trial_until: Until when the outcome of a retry by this host is awaited.
+        answered_here: Whether an answer to an attempt of this host has cleared it.
     """
 
     newest: float
@@ -118,13 +119,13 @@
 
 
 class QuarantineChange(Struct, frozen=True, kw_only=True):
-    """A request that is held back from now on, or for longer, or not any more.
+    """The begin, extension or end of the quarantine of a request.
 
     Attributes:
-        report: What is known of it.
-        ended: Whether it is held back no more, as a target has answered it.
-        keep: Whether the store is to say so as well, for hosts that start when all that know of it
-            have died.
+        report: The crashes known of the request.
+        ended: Whether the quarantine has ended, as a target has answered the request.
+        keep: Whether to write the change to the store as well, for hosts that start after all hosts
+            that know of it have died.
     """
 
     report: CrashReport
@@ -133,7 +134,7 @@
 
 
 class Crashes:
-    """The requests that have broken off at targets.
+    """The requests that were interrupted at targets.
 
     Args:
         host: This host.
@@ -150,25 +151,25 @@
 
     @property
     def changed(self) -> bool:
-        """Whether there is something that other hosts have not been told yet."""
+        """Whether something has changed since the last digest."""
         return self._changed
 
     @property
     def news(self) -> bool:
-        """Whether the next digest tells of something of which not all hosts may have heard."""
+        """Whether the next digest reports something that some hosts may not have received yet."""
         return bool(self._untold)
 
     @property
     def touched(self) -> bool:
-        """Whether `pop_changes` may have something to tell."""
+        """Whether `pop_changes` may return a change."""
         return bool(self._touched)
 
     def set_hosts(self, hosts: Iterable[HostName]) -> None:
-        """Take over which hosts live, which try by turns as a request is held back no more."""
+        """Replace the live hosts, which take turns to retry a request after its quarantine."""
         self._hosts = tuple(hosts)
 
     def record_crash(self, call: Call, start: TargetStart, *, now: float) -> None:
-        """Note that a target broke off as it ran a call."""
+        """Record that a target failed while it ran a call."""
         if not call.fingerprint:
             return
         key = _key(call)
@@ -180,7 +181,7 @@
         self._tell(key)
 
     def answered(self, call: Call) -> None:
-        """Clear a request that a target has answered of the crashes so far."""
+        """Clear a request that a target has answered of its crashes so far."""
         if not self._suspects:
             return
         key = _key(call)
@@ -191,13 +192,13 @@
             self._tell(key)
 
     def sent(self, call: Call, *, now: float) -> None:
-        """Note that a call is sent; after a quarantine it is the one try whose outcome tells."""
+        """Record that a call is sent; after a quarantine, other attempts await its outcome."""
         suspect = self._suspects.get(_key(call)) if self._suspects else None
         if suspect is not None and self._is_quarantined(suspect):
             suspect.trial_until = now + TRIAL_SECONDS
 
     def hear(self, reports: Iterable[CrashReport], *, now: float) -> None:
-        """Take over what another host, or the store, says of requests that broke off."""
+        """Merge reports of interrupted requests from another host or from the store."""
         for report in reports:
             if report.age >= QUARANTINE_SECONDS:
                 continue
@@ -215,7 +216,7 @@
                 suspect.newest = max(suspect.newest, at)
 
     def quarantine_seconds(self, call: Call, *, now: float) -> float:
-        """Return for how long a call is held back, or zero where it may be sent."""
+        """Return the seconds left of the quarantine of a call, or zero where it may be sent."""
         if not self._suspects:
             return 0.0
         suspect = self._suspects.get(_key(call))
@@ -225,11 +226,11 @@
         return max(0.0, max(held, suspect.trial_until) - now)
 
     def quarantined(self) -> int:
-        """Return how many requests are held back."""
+        """Return the number of quarantined requests."""
         return len(self._quarantined())
 
     def pop_changes(self, *, now: float) -> list[QuarantineChange]:
-        """Return which requests are held back, or for longer, since the last look, or no more."""
+        """Return the quarantines that began, were extended or ended since the last call."""
         found = []
         for key in self._touched:
             suspect = self._suspects.get(key)
@@ -250,7 +251,7 @@
         return found
 
     def tell(self, *, now: float, regular: bool) -> tuple[CrashReport, ...]:
-        """Return what a digest tells: what is new, and in a regular one what is held back."""
+        """Return the reports of a digest: new ones, and in a regular one also quarantines."""
         self._changed = False
         if not self._suspects:
             return ()
@@ -262,7 +263,7 @@
         return tuple(self._report(key, suspect, now=now) for key, suspect in told.items())
 
     def expire(self, now: float) -> None:
-        """Forget the requests that broke off long ago."""
+        """Forget the requests whose last crash is too old to count."""
         old = [
             key
             for key, suspect in self._suspects.items()
@@ -285,7 +286,7 @@
             self._unlink(key, start)
 
     def _turn_seconds(self, call: Call) -> float:
-        """Return how long after other hosts this one sends the first try at a request."""
+        """Return how long after the first host this one may retry a request."""
         if self._host not in self._hosts:
             return 0.0
         name = f"{call.customer} {call.fingerprint}"
@@ -293,7 +294,7 @@
         return min(rank, TURNS_MOST) * TURN_SECONDS + rank * LATER_TURN_SECONDS
 
     def _add(self, key: RequestKey, suspect: _Suspect, start: TargetStart, *, at: float) -> bool:
-        """Count a crash against a request and return whether it was news."""
+        """Count a crash against a request and return whether it was unknown before."""
         if start in suspect.cleared:
             return False
         known = suspect.crashes.get(start)
@@ -328,14 +329,14 @@
         return len(suspect.crashes) >= CRASHES_MOST and len(self._own(suspect)) >= CRASHES_MOST
 
     def _occasions(self, suspect: _Suspect) -> int:
-        """Return for how many occasions a request is held back; zero where it is not."""
+        """Return the number of occasions of a quarantined request; zero where it is not one."""
         return len(_first_of_occasions(suspect)) if self._is_quarantined(suspect) else 0
 
     def _own(self, suspect: _Suspect) -> set[TargetStart]:
-        """Return the crashes that do not count against a request that broke off more often.
+        """Return the crashes that do not count against a request with more crashes.
 
-        Of those that broke off equally often none is known to be the cause until one more target
-        has crashed.
+        Among requests with equally many crashes the cause is unknown until one more target has
+        crashed.
         """
         count = len(suspect.crashes)
         least = count + 1 if count > CRASHES_MOST else count
@@ -371,7 +372,7 @@
 
 
 def _hold_seconds(suspect: _Suspect) -> float:
-    """Return for how long a request is held back after it last broke off."""
+    """Return the seconds for which a request is quarantined after its last crash."""
     occasions = len(_first_of_occasions(suspect))
     return HOLD_SECONDS[min(occasions, len(HOLD_SECONDS)) - 1]
 
@@ -388,5 +389,5 @@
 
 
 def _remembered(suspect: _Suspect) -> float:
-    """Return the seconds for which a request is remembered after it last broke off."""
+    """Return the seconds for which a request is remembered after its last crash."""
     return QUARANTINE_SECONDS if len(suspect.crashes) >= CRASHES_MOST else SUSPECT_SECONDS
--- a/src/azureswitch/serving/_departures.py
+++ b/src/azureswitch/serving/_departures.py
@@ -1,6 +1,7 @@
-"""Which targets have said in an answer that they leave, whatever the store lists them as.
+"""Targets that have announced in an answer that they drain, whatever role the store lists.
 
-The store may be away for long, and tells of a leave only once the target's entry is written.
+The store may be unavailable for long, and shows the new role only after the target's entry is
+written.
 """
 
 from collections.abc import Iterable
@@ -11,26 +12,26 @@
 from azureswitch.inventory import Target, TargetRole
 
 REMEMBERED_MOST = 1_024
-"""Targets that are remembered at most; those that said so first are forgotten first.
+"""Upper bound of targets remembered; the least recently announced are evicted first.
 
-By then a fleet of 600 has been replaced more than once.
+It is large enough for a fleet of 600 targets to be replaced more than once.
 """
 
 
 class Departures:
-    """The starts of targets that have said that they leave; it is never taken back."""
+    """The starts of targets that have announced that they drain, which is irrevocable."""
 
     def __init__(self) -> None:
         self._started: dict[TargetName, int] = {}
 
     def add(self, target: TargetName, *, started: int) -> None:
-        """Note that a start of a target leaves; zero where it is not known which."""
+        """Record that a start of a target drains; zero stands for an unknown start."""
         self._started[target] = max(started, self._started.pop(target, 0))
         if len(self._started) > REMEMBERED_MOST:
             del self._started[next(iter(self._started))]
 
     def apply(self, targets: Iterable[Target]) -> tuple[Target, ...]:
-        """Return targets with those as draining that have said that they leave."""
+        """Return targets, with the role draining for those that have announced it."""
         if not self._started:
             return tuple(targets)
         return tuple(
@@ -39,7 +40,7 @@
         )
 
     def _leaves(self, target: Target) -> bool:
-        """Return whether the start of an entry is not later than the one that has said so."""
+        """Return whether an entry is of the start that drains, or of an earlier or unknown one."""
         started = self._started.get(target.name)
         if started is None:
             return False
--- a/src/azureswitch/serving/_digests.py
+++ b/src/azureswitch/serving/_digests.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of their serving."""
+"""Messages in which hosts gossip their serving state."""
 
 from msgspec import Struct
 
@@ -6,13 +6,13 @@
 
 
 class TargetLoad(Struct, frozen=True, kw_only=True):
-    """What one host has outstanding at one target, in engine seconds.
+    """The outstanding work of one host at one target, in engine seconds.
 
     Attributes:
         target: The target.
         urgent: Work with short prompts.
         total: All work.
-        middle: Work with prompts that are long, but not very long.
+        middle: Work with prompts of the middle length class.
         tokens: Tokens of memory that running attempts may take.
     """
 
@@ -24,15 +24,15 @@
 
 
 class Occupancy(Struct, frozen=True, kw_only=True):
-    """What attempts put on one target, as their host has it from its own sends.
+    """The load of a host's own attempts on one target.
 
     Attributes:
         target: The target.
-        reading: Seconds of prompts that are still read there and were too long to be short.
-        short_reading: Seconds of short prompts that are still read there.
+        reading: Seconds of prefill of longer prompts that has not finished.
+        short_reading: Seconds of prefill of short prompts that has not finished.
         streams: Attempts with short prompts, and plain ones, that have not ended.
         long_streams: Attempts with longer prompts that have not ended.
-        tokens: Tokens of memory that they may take.
+        tokens: Tokens of memory that these attempts may take.
     """
 
     target: TargetName
@@ -44,7 +44,7 @@
 
 
 class TargetStart(Struct, frozen=True, kw_only=True, order=True):
-    """Which start of a target a host means where it names the target.
+    """The start of a target that a host refers to.
 
     Attributes:
         target: The target.
@@ -56,20 +56,20 @@
 
 
 class CustomerUse(Struct, frozen=True, kw_only=True):
-    """What one host has admitted for a customer since it started, in engine seconds."""
+    """The work that one host has admitted for a customer since it started, in engine seconds."""
 
     customer: CustomerName
     seconds: float
 
 
 class Demand(Struct, frozen=True, kw_only=True):
-    """What one host admits for a model, in prefill seconds a second, smoothed.
+    """The smoothed rate of work that one host admits for a model, in prefill seconds per second.
 
     Attributes:
         service: The service.
         model: The model.
-        short: For short prompts.
-        long: For long prompts.
+        short: The rate of short prompts.
+        long: The rate of long prompts.
     """
 
     service: ServiceName
@@ -79,16 +79,16 @@
 
 
 class CrashReport(Struct, frozen=True, kw_only=True):
-    """At which targets tries at one request broke off.
+    """The targets at which attempts at one request were interrupted.
 
     Attributes:
-        customer: Whose request it is.
+        customer: The customer that sent the request.
         fingerprint: As in `Call`.
-        crashes: The starts of targets at which it broke off, some of them where there are many; a
-            start is zero where the target does not say it.
-        cleared: Such starts after which a target has answered it.
-        age: Seconds since it last broke off.
-        ages: Seconds since each of these crashes; hosts of an older version do not tell them.
+        crashes: The starts of targets at which it was interrupted, or a selection of them where
+            there are many; a start is zero where the target does not announce it.
+        cleared: Such starts of which the request was cleared, as a target answered it later.
+        age: Seconds since it was last interrupted.
+        ages: Seconds since each of ``crashes``; hosts of an older version leave them out.
     """
 
     customer: CustomerName
@@ -100,13 +100,13 @@
 
 
 class LimitReport(Struct, frozen=True, kw_only=True):
-    """What a target said last of the requests that it takes from all hosts together.
+    """The rate limit that a target last announced, for all hosts together.
 
     Attributes:
         target: The target.
-        started: Its start, or zero where it does not tell.
-        rate: Requests a second, or None where it names no limit any more.
-        age: Seconds since a host heard it.
+        started: Its start, or zero where it does not announce one.
+        rate: Requests per second, or None where the limit has ended.
+        age: Seconds since a host observed it.
     """
 
     target: TargetName
@@ -116,12 +116,12 @@
 
 
 class Grant(Struct, frozen=True, kw_only=True):
-    """The answer of the host that hands out permits to send to a target.
+    """The answer of the host that issues permits to send to a target.
 
     Attributes:
         after: Seconds after which the permit may be used.
-        valid: For how many seconds from then on; zero where none is given.
-        pause: Where none is given, seconds after which to ask again.
+        valid: Seconds of validity from then on; zero where no permit is issued.
+        pause: Seconds after which to ask again where no permit is issued.
     """
 
     after: float = 0.0
@@ -130,22 +130,21 @@
 
 
 class Digest(Struct, frozen=True, kw_only=True):
-    """What a host tells its peers of its own serving.
+    """The serving state of a host, for its peers.
 
     Attributes:
         host: The host.
-        sequence: Grows with every digest of one incarnation.
+        sequence: Increases with every digest of one incarnation.
         started: The incarnation's start.
         loads: Outstanding work per target; targets with none are left out.
         uses: Engine time per customer; customers with none are left out.
-        suspects: Targets that this host keeps out of use.
+        suspects: Targets that this host avoids as they failed.
         demands: Demand by model.
-        saved: Targets whose memory is being saved for a prompt larger than one of them.
-        occupancies: What this host's attempts put on targets; idle ones are left out.
-        starts: Which starts of the targets named above are meant; those that do not say theirs are
-            left out.
-        crashes: Requests under which targets broke off.
-        limits: What targets said of the requests that they take.
+        saved: Targets whose memory is reserved for a prompt larger than the memory of one target.
+        occupancies: The load of this host's attempts per target; idle ones are left out.
+        starts: The starts of the targets named above; unknown ones are left out.
+        crashes: Requests under which targets crashed.
+        limits: The rate limits that targets announced.
     """
 
     host: HostName
@@ -163,7 +162,7 @@
 
     @property
     def targets(self) -> tuple[TargetName, ...]:
-        """The targets that it names, each one once, in an order that its receivers find too."""
+        """The targets of all fields without duplicates, in the same order at the receivers."""
         names = [load.target for load in self.loads]
         names += self.suspects
         names += self.saved
@@ -172,11 +171,11 @@
 
 
 class DomainTotals(Struct, frozen=True, kw_only=True):
-    """What all hosts have at the targets of one failure domain, as a host there counts it.
+    """The load of all hosts at the targets of one failure domain, as known to a host there.
 
     Attributes:
         place: The failure domain.
-        occupancies: What they have at its targets; idle ones are left out.
+        occupancies: The load per target; idle ones are left out.
     """
 
     place: PlaceName
--- a/src/azureswitch/serving/_domains.py
+++ b/src/azureswitch/serving/_domains.py
@@ -1,9 +1,9 @@
-"""Which hosts hear at once of this host's sends, by failure domains in a large fleet.
+"""The failure domains whose hosts receive this host's digests.
 
-Told to all, each request costs two messages to every other host.  In a large fleet those of a
-failure domain hear of what is sent to its engines, whoever sends it, and they send to these engines
-unless they would be late there.  Of the engines of other failure domains they know sums that are
-seconds old.
+A request costs two messages to every host that is notified of it.  In a large fleet the hosts of a
+failure domain are therefore notified only of attempts at its engines, by whichever host they are
+sent.  They send to these engines unless a call would miss its latency objective there, and know the
+load of the engines of other failure domains only as totals that are seconds old.
 """
 
 from collections.abc import Iterable
@@ -13,11 +13,11 @@
 
 
 class Domains:
-    """The failure domains that this host tells of its sends.
+    """Selects the failure domains that receive this host's digests.
 
     Args:
         own: This host's failure domain.
-        full_hosts: Hosts up to which all hear of all.
+        full_hosts: Fleet size up to which all hosts receive all digests.
     """
 
     def __init__(self, *, own: PlaceName, full_hosts: float = inf) -> None:
@@ -28,26 +28,26 @@
 
     @property
     def divided(self) -> bool:
-        """Whether the hosts of a failure domain hear of its engines alone."""
+        """Whether the fleet is so large that digests are limited to failure domains."""
         return self._hosts > self._full_hosts
 
     def set_hosts(self, count: int) -> None:
-        """Note how many hosts live."""
+        """Set the number of live hosts."""
         self._hosts = count
 
     def audience(
         self, places: Iterable[PlaceName], *, regular: bool
     ) -> frozenset[PlaceName] | None:
-        """Return the failure domains whose hosts are to hear of an account, or None for all.
+        """Return the failure domains whose hosts receive a digest, or None for all hosts.
 
         Args:
-            places: Where the targets are that the account names.
-            regular: Whether it tells nothing new.
+            places: The failure domains of the targets that the digest names.
+            regular: Whether it is a regular digest, which need not contain changes.
         """
         if not self.divided:
             return None
         now = frozenset(places)
-        # Those that the last one named must hear as well that nothing is left there.
+        # The domains of the last digest must also learn that no attempts are left there.
         audience = now | self._concerned | {self._own}
         if not regular:
             self._concerned = now
--- a/src/azureswitch/serving/_failover.py
+++ b/src/azureswitch/serving/_failover.py
@@ -1,7 +1,7 @@
-"""Takes attempts away from targets that are silent, unreachable, full, or have started again.
+"""Moves attempts off targets that are silent, unreachable, out of memory, or have restarted.
 
-An attempt that may run is called off only where another one may follow: else a caller's answer
-would be broken off in the middle, though its target may be about to go on.
+An attempt that may be running is cancelled only if another one may follow.  Otherwise the caller's
+answer would be cut off although its target may still continue.
 """
 
 from collections.abc import Callable
@@ -16,16 +16,16 @@
 from azureswitch.serving._state import Attempt, CallRecord, ServingState
 
 FULL_SECONDS = 1.0
-"""Seconds for which an engine whose memory others hold gets no new work."""
+"""Seconds for which an engine whose memory is taken gets no new work."""
 
 
 def replace_silent(
     state: ServingState, record: CallRecord, number: int, *, now: float
 ) -> list[Effect]:
-    """Go on elsewhere with a call whose target writes nothing, where another attempt may follow.
+    """Move a call off a target that sends no data, if another attempt may follow.
 
-    Where none may, the target is waited for until the caller leaves or its deadline comes: engines
-    that read a prompt larger than one engine's memory write nothing for 1 to 2 s and then go on.
+    If none may, the target is awaited until the caller disconnects or the deadline passes: engines
+    that read a prompt larger than one engine's memory send nothing for 1 to 2 s and then continue.
     """
     attempt = record.attempts.get(number)
     if attempt is None or not _may_follow(state, record, now=now):
@@ -41,10 +41,10 @@
 
 
 def leave_unreachable(state: ServingState, target: TargetName, *, now: float) -> list[Effect]:
-    """Start the attempts at a target that answers no poll any more elsewhere.
+    """Move attempts off a target that no longer answers polls.
 
-    A call that may not repeat, or has no further attempt or no other target, stays: its answer may
-    still come.
+    A call stays if it may not be repeated, has no attempt left, or has no other target: its answer
+    may still come.
     """
     return _for_each(state, partial(_lose, target=target), now=now)
 
@@ -67,14 +67,14 @@
 def restart_attempts(
     state: ServingState, targets: frozenset[TargetName], *, now: float
 ) -> list[Effect]:
-    """Start the attempts at targets that have started again anew, there or elsewhere.
-
-    A call that may not repeat stays, and so does one for which no further try is permitted or
-    whose answer has begun: its connection tells the truth, whenever the new start was told.  Of a
-    process that was ended it breaks off by itself, at once.  Told late, by a store that is slow or
-    down, the attempt may have reached the start that runs now, and its answer comes.  Only the
-    connection to a machine that is gone stays silent, which is noticed as any silence is; a call
-    that may not repeat ends at its deadline.
+    """Start new attempts, there or elsewhere, for those at targets that have restarted.
+
+    A call stays if it may not be repeated, if no further attempt is permitted, or if its answer has
+    begun.  Its connection then decides, whenever the restart became known: the connection to a
+    process that has ended breaks at once.  If a slow or unavailable store delayed the news, the
+    attempt may have reached the new process, and its answer arrives.  Only the connection to a
+    machine that is gone stays silent, which is handled like any other silence; a call that may not
+    be repeated then ends at its deadline.
     """
     return _for_each(state, partial(_resend, targets=targets), now=now)
 
@@ -82,7 +82,7 @@
 def _resend(
     state: ServingState, record: CallRecord, *, targets: frozenset[TargetName], now: float
 ) -> list[Effect]:
-    """Cancel the lost attempts of a call, and try again at once where no other one runs."""
+    """Cancel the lost attempts of a call, and retry at once if no other attempt runs."""
     record.failed -= targets
     for attempt in record.attempts.values():
         attempt.restarted |= targets.intersection(attempt.targets)
@@ -102,13 +102,13 @@
 
 
 def withdraw(state: ServingState, target: TargetName, *, now: float) -> list[Effect]:
-    """Take back what waits at an engine whose memory others hold, to send it elsewhere.
+    """Cancel attempts that wait at an engine whose memory is taken, and send them elsewhere.
 
-    Two hosts may have sent to the same free memory at once.  What waits for it may stand before the
-    very request that would free it, so that neither would ever run.
+    Two hosts may have sent to the same free memory at once.  An attempt that waits for memory may
+    be queued ahead of the request that would free it, and neither would ever run: a deadlock.
 
-    Whether it has begun is not known for sure, so it counts as a run, and the last one that the
-    route permits is waited for.
+    Whether the attempt has begun is uncertain, so it counts as a run, and the last run that the
+    route permits is awaited.
     """
     state.fleet.full(target, seconds=FULL_SECONDS, now=now)
     return _for_each(state, partial(_withdraw, target=target), now=now)
@@ -134,7 +134,7 @@
 def _for_each(
     state: ServingState, step: Callable[..., list[Effect]], *, now: float
 ) -> list[Effect]:
-    """Take a step for each open call."""
+    """Run a step for each open call and return all effects."""
     return [
         effect
         for record in list(state.calls.values())
@@ -143,7 +143,7 @@
 
 
 def _may_follow(state: ServingState, record: CallRecord, *, now: float, runs: int = 1) -> bool:
-    """Return whether another attempt is permitted if so many that run are called off."""
+    """Return whether another attempt is permitted if ``runs`` running ones are cancelled."""
     pause = longest_backoff(record.retry_count + 1)
     in_time = now + pause < state.ends_by(record.call)
     more_retries = record.retry_count < MOST_RETRIES and state.retries.permits()
@@ -152,7 +152,7 @@
 
 
 def _has_other(state: ServingState, record: CallRecord, target: TargetName, *, now: float) -> bool:
-    """Return whether a call has a sound target beside one; each failed poll asks again."""
+    """Return whether a call has another healthy target; evaluated on each failed poll."""
     return any(
         other.preferred(now) and other.target.name != target
         for other in state.fleet.states(record.pool)
@@ -160,9 +160,9 @@
 
 
 def _finds_target(state: ServingState, record: CallRecord, attempt: Attempt, *, now: float) -> bool:
-    """Return whether a call would be sent at once, and not to the target that answers now.
+    """Return whether a call would be sent at once, and to another target than its first one.
 
-    Where one of its targets has started again, that explains the silence, and all may be used.
+    If one of its targets has restarted, that explains the silence, and all targets are eligible.
     """
     if any(True for _ in state.queue.customers(lane_of(record))):
         return False
--- a/src/azureswitch/serving/_fleet.py
+++ b/src/azureswitch/serving/_fleet.py
@@ -1,4 +1,4 @@
-"""The targets, and what is known of the work that each of them has."""
+"""The targets of the inventory, and the known state and load of each."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -14,10 +14,10 @@
 from azureswitch.serving._target import PeerLoad, Sent, TargetState, Work
 
 REPORT_LAG = 0.25
-"""Seconds by which a load report may be older than its arrival tells."""
+"""Seconds by which the state in a load report may be older than its measured age."""
 
 UNREACHABLE_SECONDS = 1.0
-"""Seconds for which a target that did not answer a poll gets no new work."""
+"""Seconds for which a target gets no new work after it did not answer a poll."""
 
 FIRST_EJECTION_SECONDS = 1.0
 """Seconds for which a target is avoided after its first failure."""
@@ -26,13 +26,13 @@
 """Seconds for which a target is avoided after many failures."""
 
 MAX_UNSHARED_EJECTION_SECONDS = 4.0
-"""The same where connections are made anew for each attempt, so that a wrong guess costs little."""
+"""The same for unshared calls; a new connection per attempt makes a wrong guess cheap."""
 
 SAVE_SECONDS = 1.0
-"""Seconds for which a target is saved unless that is renewed."""
+"""Seconds after which a reservation of a target's memory expires unless renewed."""
 
 SUSPECT_SECONDS = 1.0
-"""Seconds for which a target that a peer keeps out of use is avoided here too."""
+"""Seconds for which a target that a peer reports as suspect is avoided here too."""
 
 
 class Pool(Struct, frozen=True, kw_only=True):
@@ -41,9 +41,9 @@
     Attributes:
         service: The service.
         model: The model; empty for plain services.
-        targets: Their names in an order that all hosts agree on; the first take long prompts.
-        longest: The most prompt tokens that one of them can hold; zero for plain targets.
-        pace: How fast its engines work, or None where that is not published.
+        targets: Their names in an order that is the same on all hosts; the first take long prompts.
+        longest: The largest memory of one of them in tokens; zero for plain targets.
+        pace: The performance model of its engines, or None where none is published.
     """
 
     service: ServiceName
@@ -72,11 +72,11 @@
         self._heard: dict[HostName, set[TargetName]] = {}
 
     def adopt(self, inventory: Inventory, *, restarted: Collection[TargetName] = ()) -> None:
-        """Take over the targets of a configuration and keep what is known of their load.
+        """Adopt the targets of a configuration and keep the known load of those that remain.
 
         Args:
             inventory: The configuration.
-            restarted: Targets that have started again, of which nothing is kept.
+            restarted: Targets that have restarted, whose known load is discarded.
         """
         self._restart(restarted)
         regions = {place.name: place.region for place in inventory.places}
@@ -97,7 +97,7 @@
         self._pools = _pools(inventory.targets, {s.name: s.pace for s in inventory.services})
 
     def _restart(self, targets: Collection[TargetName]) -> None:
-        """Forget all that is known of targets but which of their reports are over."""
+        """Reset the state of targets, but keep the start in their last load reports as ended."""
         for name in targets:
             known = self._states.get(name)
             if known is not None:
@@ -116,7 +116,7 @@
         return 1 if same_region and place in regions else 2
 
     def has_service(self, service: ServiceName) -> bool:
-        """Return whether the inventory holds a service."""
+        """Return whether the inventory contains a service."""
         return service in self._services
 
     def pool(self, *, service: ServiceName, model: str) -> Pool | None:
@@ -124,11 +124,11 @@
         return self._pools.get((service, model))
 
     def state(self, target: TargetName) -> TargetState | None:
-        """Return what is known of a target, or None where the inventory does not hold it."""
+        """Return the state of a target, or None where the inventory does not contain it."""
         return self._states.get(target)
 
     def place(self, target: TargetName) -> PlaceName | None:
-        """Return the failure domain of a target, or None where the inventory does not hold it."""
+        """Return the failure domain of a target, or None if the inventory does not contain it."""
         state = self._states.get(target)
         return None if state is None else state.target.place
 
@@ -137,11 +137,11 @@
         return [name for name, state in self._states.items() if state.target.place == place]
 
     def states(self, pool: Pool) -> list[TargetState]:
-        """Return what is known of all targets of a pool."""
+        """Return the states of all targets of a pool."""
         return [self._states[name] for name in pool.targets if name in self._states]
 
     def add(self, targets: Iterable[TargetName], *, work: Work, now: float) -> None:
-        """Count an attempt that was sent to targets."""
+        """Add the load of an attempt that was sent to targets."""
         for name in targets:
             state = self._states.get(name)
             if state is None:
@@ -156,14 +156,14 @@
             self._loaded.add(name)
 
     def prefilled(self, targets: Iterable[TargetName], *, work: Work) -> None:
-        """Count that an attempt delivered its first token or ended before it."""
+        """Remove the prefill of an attempt that got its first token or ended before it."""
         for name in targets:
             state = self._states.get(name)
             if state is not None:
                 state.backlog[work.level] = max(0.0, state.backlog[work.level] - work.seconds)
 
     def remove(self, targets: Iterable[TargetName], *, work: Work) -> None:
-        """Count that an attempt ended."""
+        """Remove the load of an attempt that has ended."""
         for name in targets:
             state = self._states.get(name)
             if state is None:
@@ -175,10 +175,10 @@
                 self._loaded.discard(name)
 
     def report(self, report: LoadReport, *, now: float, age: float) -> float:
-        """Take over a load report, unless a newer one is known.
+        """Apply a load report, unless a newer one is known.
 
         Returns:
-            For how many seconds requests have waited there although none runs.
+            The seconds for which requests have waited there while none runs.
         """
         state = self._states.get(report.target)
         if state is None or 0 < report.started <= state.ended_start:
@@ -200,10 +200,10 @@
         return 0.0 if state.stuck_since is None else now - state.stuck_since
 
     def unreachable(self, target: TargetName, *, now: float) -> float:
-        """Give a target no new work for a while.
+        """Record an unanswered poll and give the target no new work for a while.
 
         Returns:
-            For how many seconds it has not answered.
+            The seconds since its first unanswered poll.
         """
         state = self._states.get(target)
         if state is None:
@@ -215,21 +215,21 @@
         return now - state.silent_since
 
     def full(self, target: TargetName, *, seconds: float, now: float) -> None:
-        """Give a target that has no room now no new work for as long as it says."""
+        """Give a target without free capacity no new work for a given time."""
         state = self._states.get(target)
         if state is not None:
-            # However long: a target that is asked again meanwhile cannot recover.
+            # There is no upper bound: a target that gets requests in this time cannot recover.
             state.unusable_until = max(state.unusable_until, now + seconds)
 
     def failed(
         self, target: TargetName, *, now: float, longest: float = MAX_EJECTION_SECONDS
     ) -> None:
-        """Prefer other targets for a while, longer with every failure in a row.
+        """Eject a target for a time that grows exponentially with consecutive failures.
 
         Args:
             target: The target.
             now: The time.
-            longest: Seconds that this lasts at most.
+            longest: The longest ejection in seconds.
         """
         state = self._states.get(target)
         if state is not None:
@@ -239,20 +239,20 @@
             self._suspects[target] = state.ejected_until
 
     def succeeded(self, target: TargetName) -> None:
-        """Forget the failures of a target."""
+        """Reset the count of consecutive failures of a target."""
         state = self._states.get(target)
         if state is not None:
             state.failures = 0
 
     def reserve_memory(self, targets: Iterable[TargetName], *, call: CallId, now: float) -> None:
-        """Send no more long prompts to targets for a while, so that their memory frees up."""
+        """Withhold other long prompts from targets for a while, so that memory becomes free."""
         for name in targets:
             self._saved[name] = (call, now + SAVE_SECONDS)
 
     def may_reserve_memory(self, *, now: float) -> bool:
-        """Return whether this host may save targets; only one host does at a time.
+        """Return whether this host may reserve memory; only one host does at a time.
 
-        Of two that began together the one whose name is greater yields.
+        If two began at the same time, the one with the greater name yields.
         """
         for host, until in self._savers.items():
             if now < until and (not self._saved or host < self._myself.name):
@@ -260,16 +260,16 @@
         return True
 
     def release_memory(self, call: CallId) -> None:
-        """Send long prompts again to the targets that were saved for a call."""
+        """Release the memory that was reserved for a call."""
         for name in [name for name, (owner, _) in self._saved.items() if owner == call]:
             del self._saved[name]
 
     def saved(self, *, now: float) -> tuple[TargetName, ...]:
-        """Return the targets that this host saves."""
+        """Return the targets whose memory this host has reserved."""
         return tuple(sorted(name for name, (_, until) in self._saved.items() if now < until))
 
     def accepts_long_prompts(self, target: TargetName, *, call: CallId, now: float) -> bool:
-        """Return whether a target is not saved for another call, here or at a peer."""
+        """Return whether a target's memory is not reserved for another call, here or at a peer."""
         owner, until = self._saved.get(target, (call, 0.0))
         if owner != call and now < until:
             return False
@@ -277,12 +277,12 @@
         return state is not None and (owner == call or now >= state.saved_until)
 
     def suspects(self, *, now: float) -> tuple[TargetName, ...]:
-        """Return the targets that failed here and are kept out of use."""
+        """Return the targets that failed here and are avoided."""
         self._suspects = {name: until for name, until in self._suspects.items() if now < until}
         return tuple(sorted(self._suspects))
 
     def set_hosts(self, hosts: Iterable[HostName]) -> None:
-        """Forget what hosts that are gone had outstanding."""
+        """Set the live hosts and forget the outstanding work of all others."""
         for host in self._heard.keys() - set(hosts):
             for name in self._heard.pop(host):
                 state = self._states.get(name)
@@ -290,7 +290,7 @@
                     state.peers.pop(host, None)
 
     def hear(self, digest: Digest, *, now: float) -> None:
-        """Take over what a peer has outstanding."""
+        """Apply the loads, suspects and reservations in a peer's digest."""
         if digest.loads or self._heard.get(digest.host):
             self._hear_loads(digest, now=now)
         for name in digest.suspects:
@@ -321,7 +321,7 @@
                 known.peers[digest.host] = PeerLoad(load=load, at=now, before=before)
 
     def loads(self) -> tuple[TargetLoad, ...]:
-        """Return what this host has outstanding, per target."""
+        """Return this host's outstanding work per target."""
         states = (self._states[name] for name in sorted(self._loaded))
         return tuple(
             TargetLoad(
@@ -336,9 +336,9 @@
 
 
 def ordered(names: Iterable[TargetName]) -> tuple[TargetName, ...]:
-    """Return targets in an order that depends on their names alone.
+    """Return targets in an order that depends only on their names.
 
-    A target that joins or leaves changes the order of no other two.
+    A target that joins or leaves does not change the relative order of the others.
     """
     return tuple(sorted(names, key=lambda name: (xxh3_64_intdigest(name.encode()), name)))
 
--- a/src/azureswitch/serving/_gossip.py
+++ b/src/azureswitch/serving/_gossip.py
@@ -1,4 +1,4 @@
-"""What a host tells the others of its serving, and which of them."""
+"""Publication of this host's digests, and the choice of the hosts that receive them."""
 
 from msgspec.structs import replace
 
@@ -9,7 +9,7 @@
 
 
 def publish_digest(state: ServingState, *, regular: bool = False, now: float) -> list[Effect]:
-    """Tell the others what has changed, or all, in a regular digest."""
+    """Return the effect that publishes a digest; a regular one also repeats known reports."""
     return [_digest(state, regular=regular, now=now)]
 
 
@@ -37,7 +37,7 @@
     places = (state.fleet.place(item.target) for item in digest.occupancies)
     audience = state.domains.audience(filter(None, places), regular=regular)
     if everywhere and audience is not None and state.snapshot is not None:
-        # Whichever host gets a request that crashes targets next must know of it.
+        # Any host may get a request that crashes targets next, and must know of it.
         audience = frozenset(place.name for place in state.snapshot.inventory.places)
     return PublishDigest(
         digest=replace(digest, starts=starts),
@@ -48,7 +48,7 @@
 
 
 def publish_totals(state: ServingState) -> list[Effect]:
-    """Tell another failure domain what all have at the targets of this one, in a large fleet."""
+    """In a large fleet, publish the load of all hosts at the targets of this failure domain."""
     if not state.domains.divided:
         return []
     own = state.myself.place
--- a/src/azureswitch/serving/_ledger.py
+++ b/src/azureswitch/serving/_ledger.py
@@ -1,4 +1,4 @@
-"""What all hosts have sent to each target and not seen end, from their own accounts."""
+"""The unfinished attempts of all hosts at each target, by the hosts' own accounts."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -10,24 +10,24 @@
 from azureswitch.serving._starts import Starts, starts_by_target
 
 PEER_SECONDS = 7.0
-"""Seconds after which a peer's account says nothing any more.
+"""Seconds after which a peer's account expires.
 
-In a large fleet a host hears a regular digest of each other one every 3.2 s; two may be missing.
+In a large fleet a host receives a regular digest of each peer every 3.2 s; two may be lost.
 """
 
 TOTALS_SECONDS = 10.0
-"""Seconds after which the totals of another failure domain say nothing any more.
+"""Seconds after which the totals of another failure domain expire.
 
-A host hears those of each of four others every 3.2 s on average, at random.
+A host receives those of each of four others at random intervals, every 3.2 s on average.
 """
 
 
 class _Totals(Struct, frozen=True, kw_only=True):
-    """What was told last of another failure domain.
+    """The last totals received from another failure domain.
 
     Attributes:
-        at: When it was heard.
-        occupancies: What all hosts have at its targets.
+        at: When they were received.
+        occupancies: The load of all hosts at its targets.
     """
 
     at: float
@@ -35,13 +35,13 @@
 
 
 class _Account(Struct, frozen=True, kw_only=True):
-    """What one peer said last.
+    """The last account received from one peer.
 
     Attributes:
-        at: When it was heard.
-        occupancies: What it has at targets.
-        starts: Which starts of the targets it means, as far as it says so.
-        counted: What of it is counted here.
+        at: When it was received.
+        occupancies: The peer's load per target.
+        starts: The starts of targets that it refers to; unknown ones are left out.
+        counted: Those of its occupancies that refer to the starts known here.
     """
 
     at: float
@@ -51,17 +51,17 @@
 
 
 class Ledger:
-    """The sum of this host's sends and of what its peers say of theirs.
+    """The sum of this host's unfinished attempts and of those that its peers report.
 
-    A send is told to the peers at once.  So two hosts choose the same idle engine only where they
-    do so within a message's time, a millisecond or two, and need not wait for the engine's report,
-    which is some hundred milliseconds late.
+    A host reports each attempt to its peers at once.  Two hosts therefore choose the same idle
+    engine only if they do so within the transit time of a message, a millisecond or two, rather
+    than within the delay of the engine's load report, some hundred milliseconds.
 
-    What is said of another start of a target than the one known here is not counted.  What is said
-    of a later one is kept until that is known here too.
+    An occupancy that refers to another start of a target than the one known here is not counted.
+    One of a later start is kept, and counted as soon as that start is known here too.
 
     Args:
-        starts: Which start of each target is known.
+        starts: The known starts of targets.
     """
 
     def __init__(self, *, starts: Starts) -> None:
@@ -76,31 +76,31 @@
 
     @property
     def begun(self) -> bool:
-        """Whether a send was entered since the peers were told last."""
+        """Whether an attempt was added since the last digest."""
         return self._begun
 
     @property
     def changed(self) -> bool:
-        """Whether this host's account is not what its peers were told last."""
+        """Whether this host's account has changed since the last digest."""
         return self._changed
 
     @property
     def accounts(self) -> int:
-        """How many peers' accounts are known."""
+        """The number of peers whose accounts are known."""
         return len(self._accounts)
 
     def at(self, target: TargetName) -> Occupancy:
-        """Return what all hosts have at a target.
+        """Return the load of all hosts at a target.
 
-        Of one in another failure domain of a large fleet it is at least what was told of it there,
-        and at least what this host and its peers have there themselves.
+        For a target in another failure domain of a large fleet, each figure is the maximum of the
+        totals received from there and of the sum of the accounts known here.
         """
         accounted = self._accounted(target)
         told = self._totals_at(target)
         return accounted if told is None else _most(accounted, told)
 
     def _accounted(self, target: TargetName) -> Occupancy:
-        """Return what this host and its peers have at a target, by their own accounts."""
+        """Return the load of this host and its peers at a target, by their accounts."""
         own = self._own.get(target)
         peers = self._peers.get(target)
         if own is None or peers is None:
@@ -108,31 +108,31 @@
         return _sum(own, peers)
 
     def _totals_at(self, target: TargetName) -> Occupancy | None:
-        """Return what the hosts of another failure domain told of a target there."""
+        """Return the load of a target in the totals of another failure domain, if any."""
         for totals in self._domains.values():
             if target in totals.occupancies:
                 return totals.occupancies[target]
         return None
 
     def totals(self, targets: Iterable[TargetName]) -> tuple[Occupancy, ...]:
-        """Return what all hosts have at some targets; idle ones are left out."""
+        """Return the load of this host and its peers at some targets; idle ones are left out."""
         found = map(self._accounted, targets)
         return tuple(item for item in found if not _is_idle(item))
 
     def hear_totals(self, totals: DomainTotals, *, now: float) -> None:
-        """Replace what was told of another failure domain."""
+        """Replace the totals of another failure domain."""
         self._domains[totals.place] = _Totals(
             at=now, occupancies={item.target: item for item in totals.occupancies}
         )
 
     def add(self, *, call: CallId, attempt: int, occupancies: tuple[Occupancy, ...]) -> None:
-        """Enter an attempt that is being sent."""
+        """Add an attempt that is being sent."""
         self._entries[call, attempt] = occupancies
         self._begun = self._begun or bool(occupancies)
         self._apply(occupancies, sign=1)
 
     def read(self, *, call: CallId, attempt: int) -> None:
-        """Note that the prompt of an attempt has been read."""
+        """Record that the prefill of an attempt has finished."""
         entry = self._entries.get((call, attempt))
         if entry is None:
             return
@@ -144,14 +144,14 @@
         self._changed = told
 
     def remove(self, *, call: CallId, attempt: int) -> None:
-        """Strike out an attempt that has ended."""
+        """Remove an attempt that has ended."""
         self._apply(self._entries.pop((call, attempt), ()), sign=-1)
 
     def tell(self) -> tuple[Occupancy, ...]:
-        """Return this host's account for its peers; targets with nothing are left out.
+        """Return this host's account for its peers; idle targets are left out.
 
-        The reading of short prompts stays untold.  It takes 30 ms, and to tell of its end would be
-        a third message for each request to each host.
+        The prefill of short prompts is not reported.  It takes 30 ms, and reporting its end would
+        cost a third message per request and host.
         """
         self._changed = False
         self._begun = False
@@ -170,9 +170,9 @@
 
         Args:
             host: The peer.
-            occupancies: What it has at targets.
+            occupancies: The peer's load per target.
             now: The time.
-            starts: Which starts of the targets it means.
+            starts: The starts of targets that it refers to.
         """
         named = starts_by_target(starts)
         counted = self._counted(occupancies, named)
@@ -181,14 +181,14 @@
         self._accounts[host] = _Account(
             at=now, occupancies=occupancies, starts=named, counted=counted
         )
-        # Most of an account stands as it was told last.
+        # Most entries of an account are unchanged since the last digest.
         _add(self._peers, [item for item in before if item not in counted], sign=-1)
         _add(self._peers, [item for item in counted if item not in before], sign=1)
 
     def restart(self, targets: Collection[TargetName]) -> None:
-        """Strike out what all hosts had at targets that have started again.
+        """Remove the load of all hosts at targets that have restarted.
 
-        What peers said without naming a start was said before, so that it goes too.
+        Peers' entries without a start are removed as well, as they were reported before.
         """
         for key, entry in self._entries.items():
             self._entries[key] = _elsewhere(entry, targets)
@@ -208,7 +208,7 @@
         self.recount(targets)
 
     def recount(self, targets: Collection[TargetName]) -> None:
-        """Count the peers' accounts of targets anew, as another start of them is known."""
+        """Recompute the peers' load at targets whose known start has changed."""
         if not targets:
             return
         for target in targets:
@@ -224,7 +224,7 @@
             self._forget(host)
 
     def expire(self, now: float) -> None:
-        """Forget the accounts that are too old."""
+        """Forget the accounts and totals that have expired."""
         for host, account in list(self._accounts.items()):
             if now - account.at > PEER_SECONDS:
                 self._forget(host)
@@ -240,7 +240,7 @@
     def _counted(
         self, occupancies: tuple[Occupancy, ...], starts: Mapping[TargetName, int]
     ) -> tuple[Occupancy, ...]:
-        """Return what a peer said of the starts known here."""
+        """Return the occupancies that refer to the starts known here, or to unknown ones."""
         if not starts:
             return occupancies
         holds = self._starts.holds
@@ -259,7 +259,7 @@
         known = totals.get(item.target, Occupancy(target=item.target))
         total = _sum(known, item, sign=sign)
         if _is_idle(total):
-            # Dropping the entry also drops what rounding left of its sums.
+            # Removing the entry also discards the rounding errors in its sums.
             totals.pop(item.target, None)
         else:
             totals[item.target] = total
@@ -292,12 +292,12 @@
 def _elsewhere(
     entry: tuple[Occupancy, ...], targets: Collection[TargetName]
 ) -> tuple[Occupancy, ...]:
-    """Return what is left of an entry without some targets."""
+    """Return the occupancies of an entry at all but some targets."""
     return tuple(item for item in entry if item.target not in targets)
 
 
 def _written(item: Occupancy) -> Occupancy:
-    """Return what is left of an entry once its prompt has been read."""
+    """Return an occupancy without its prefill."""
     return Occupancy(
         target=item.target,
         streams=item.streams,
--- a/src/azureswitch/serving/_limit_events.py
+++ b/src/azureswitch/serving/_limit_events.py
@@ -1,4 +1,4 @@
-"""What hosts hear of targets' limits and tell each other, and the permits that they exchange."""
+"""Handlers of events that concern rate limits of targets, and of permit messages between hosts."""
 
 from collections.abc import Iterable
 from functools import partial
@@ -17,7 +17,7 @@
 
 
 def note_limit(state: ServingState, event: LimitNamed) -> list[Effect]:
-    """Keep to a limit that a target names, from now on."""
+    """Record a limit that a target announces, which applies from now on."""
     change = state.limits.name(
         event.target, started=event.started, rate=safe_rate(event.rate), now=event.now
     )
@@ -27,7 +27,7 @@
 
 
 def note_no_limit(state: ServingState, event: LimitUnnamed) -> list[Effect]:
-    """Let a target have more and more requests that names no limit any more."""
+    """Record the end of a limit, which starts the ramp-up of its target."""
     change = state.limits.unname(
         event.target, started=event.started, sent=event.sent, now=event.now
     )
@@ -35,12 +35,12 @@
 
 
 def hear_limits(state: ServingState, reports: Iterable[LimitReport], *, now: float) -> list[Effect]:
-    """Take over what a peer tells of limits."""
+    """Merge the limits that a peer reports."""
     return [AnnounceLimit(change=change) for change in state.limits.hear(reports, now=now)]
 
 
 def asks(state: ServingState, *, now: float) -> list[Effect]:
-    """Ask for the permits that were found missing."""
+    """Return the effects that ask owners for the permits that were missing."""
     effects: list[Effect] = []
     for target in state.permits.pop_asks():
         report = state.limits.report(target, now=now)
@@ -50,7 +50,7 @@
 
 
 def answer_permit(state: ServingState, event: PermitAsked) -> list[Effect]:
-    """Answer a peer, which may know more of the target's limit, or less."""
+    """Answer a peer's request for a permit; each side learns the other's report of the limit."""
     target, now = event.report.target, event.now
     effects = hear_limits(state, [event.report], now=now)
     grant = state.permits.grant(target, host=event.host, now=now)
@@ -60,7 +60,7 @@
 
 
 def take_permit(state: ServingState, event: PermitAnswered) -> list[Effect]:
-    """Send what waits for a permit, and refuse what none will come for in time."""
+    """Apply a permit, send calls that waited, and refuse those that will get none in time."""
     now = event.now
     effects: list[Effect] = []
     if event.report is not None:
--- a/src/azureswitch/serving/_limits.py
+++ b/src/azureswitch/serving/_limits.py
@@ -1,7 +1,7 @@
-"""What targets have said in their answers of how many requests they take from all hosts together.
+"""Rate limits that targets announce in their answers, each for all hosts together.
 
-A host tells the others at once of what it hears.  Of two that say different things the one that
-heard its target last is believed, so that what hosts tell travels with its age.
+A host gossips a change of a limit at once.  Of contradicting reports the one with the most recent
+observation wins, so reports carry the age of their observation.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,41 +13,43 @@
 from azureswitch.serving._starts import Starts
 
 LEAST_RATE = 0.1
-"""Requests a second that a target gets at least, which shows when it takes more."""
+"""Lowest rate kept to, in requests per second; their answers show when the limit rises."""
 
 UNREADABLE_RATE = 0.5
-"""Requests a second of a target whose limit cannot be read: it is in need, but not how much."""
+"""Requests per second to a target whose limit cannot be parsed: it is overloaded to an unknown
+degree.
+"""
 
 MOST_RATE = 10_000.0
-"""Requests a second above which a limit makes no difference to a host."""
+"""Highest rate kept to, in requests per second; a higher limit has no effect on a host."""
 
 RISE_SECONDS = 3.0
-"""Seconds for which a target whose limit has ended gets more and more requests."""
+"""Seconds of the ramp-up of a target whose limit has ended."""
 
 DOUBLING_SECONDS = 0.5
-"""Seconds in which they double meanwhile, up to 64 times the limit."""
+"""Seconds in which the rate doubles during the ramp-up, up to 64 times the limit."""
 
 ENDED_SECONDS = 30.0
-"""Seconds for which hosts remember that a limit has ended, as others may not have heard of it."""
+"""Seconds for which hosts remember the end of a limit, as others may not know of it yet."""
 
 TRANSIT_SECONDS = 0.005
-"""Seconds that a message between hosts may take, by which its news is taken for older."""
+"""Assumed transit time in seconds of a message between hosts, added to the age of a report."""
 
 TOLD_MOST = 8
-"""Limits that a regular digest tells of at most, by turns."""
+"""Upper bound of limits in a regular digest, which take turns."""
 
 REMEMBERED_MOST = 1_024
-"""Targets of which a limit is remembered at most; those heard of first are forgotten first."""
+"""Upper bound of targets with a remembered limit; the least recently updated is evicted first."""
 
 
 class LimitChange(Struct, frozen=True, kw_only=True):
-    """A limit that is known to be another one than before.
+    """A change of the known limit of a target.
 
     Attributes:
         target: The target.
-        rate: Requests a second, or None where it names none any more.
-        before: What was known before, or None.
-        age: Seconds since the target was heard, by whichever host.
+        rate: Requests per second, or None where the limit has ended.
+        before: The rate known before, or None.
+        age: Seconds since a host observed it.
     """
 
     target: TargetName
@@ -57,14 +59,14 @@
 
 
 class _Named(Struct, frozen=True, kw_only=True):
-    """What a target said last.
+    """The last announcement of a target.
 
     Attributes:
-        started: Its start, or zero where it does not tell.
-        rate: Requests a second, or None where it names none any more.
-        at: When it was heard.
-        since: Since when it has named a limit, or none.
-        before: The rate that it named before that ended; zero while it names one.
+        started: The target's start, or zero where it does not announce one.
+        rate: Requests per second, or None where the limit has ended.
+        at: When a host observed it.
+        since: Since when the target has had a limit, or since when it has had none.
+        before: The rate of the limit that ended; zero while there is a limit.
     """
 
     started: int
@@ -75,14 +77,14 @@
 
 
 def safe_rate(rate: float | None) -> float:
-    """Return the rate to keep to where a target names one, which may be unreadable."""
+    """Return an announced rate within bounds; None stands for one that cannot be parsed."""
     if rate is None:
         return UNREADABLE_RATE
     return min(MOST_RATE, max(LEAST_RATE, rate))
 
 
 class Limits:
-    """The limits that are known of targets; a later start of one has none.
+    """The known limits of targets; a limit ends with the start of the target that announced it.
 
     Args:
         starts: Which start of each target is known.
@@ -96,35 +98,35 @@
 
     @property
     def any(self) -> bool:
-        """Whether anything is known of any target."""
+        """Whether a limit, or the recent end of one, is known of any target."""
         return bool(self._named)
 
     @property
     def targets(self) -> tuple[TargetName, ...]:
-        """The targets of which something is known."""
+        """The targets with a limit or with one that ended recently."""
         return tuple(self._named)
 
     @property
     def news(self) -> bool:
-        """Whether this host has heard a target say something that the others are to know."""
+        """Whether this host has observed a change that it has not gossiped yet."""
         return bool(self._news)
 
     def name(
         self, target: TargetName, *, started: int, rate: float, now: float
     ) -> LimitChange | None:
-        """Note that a target names a limit in an answer to this host."""
+        """Record a limit that a target announced in an answer to this host."""
         return self._hear(target, started=started, rate=rate, at=now, now=now, own=True)
 
     def unname(
         self, target: TargetName, *, started: int, sent: float, now: float
     ) -> LimitChange | None:
-        """Note that a target names none in the answer to a request.
+        """Record that the answer to a request announced no limit.
 
         Args:
             target: The target.
             started: Its start, or zero.
-            sent: When the request was sent; answers overtake each other, so that one to a request
-                that was sent before the limit was heard of says nothing.
+            sent: When the request was sent.  Answers may arrive out of order, so the answer to a
+                request from before the limit was observed is ignored.
             now: The time.
         """
         known = self._named.get(target)
@@ -133,7 +135,7 @@
         return self._hear(target, started=started, rate=None, at=now, now=now, own=True)
 
     def hear(self, reports: Iterable[LimitReport], *, now: float) -> list[LimitChange]:
-        """Take over what a peer tells, where it is newer than what is known; return what is new."""
+        """Merge a peer's reports, where newer than what is known, and return the changes."""
         changes = []
         for report in reports:
             at = now - report.age - TRANSIT_SECONDS
@@ -145,9 +147,9 @@
         return changes
 
     def rate(self, target: TargetName, *, now: float) -> float | None:
-        """Return how many requests a second a target takes from all hosts, or None for any number.
+        """Return the requests per second that a target takes from all hosts, or None if unlimited.
 
-        After the end of a limit it rises, lest all hosts send to the target at that moment.
+        After the end of a limit the rate ramps up, so that the hosts do not all send at once.
         """
         known = self._named.get(target)
         if known is None or not self._starts.holds(target, known.started):
@@ -160,20 +162,20 @@
         return known.before * float(2.0 ** (max(0.0, elapsed) / DOUBLING_SECONDS))
 
     def knows(self, target: TargetName) -> bool:
-        """Return whether a target has named a limit that has not long ended."""
+        """Return whether a target has a limit or had one until recently."""
         return target in self._named
 
     def since(self, target: TargetName) -> float:
-        """Return since when a target has named its limit, of which one is known."""
+        """Return since when a target has had its limit, or has had none; it must be a known one."""
         return self._named[target].since
 
     def unheard(self, target: TargetName, *, now: float) -> float:
-        """Return for how many seconds nobody is known to have heard a target."""
+        """Return the seconds since the last known observation of a target; zero if unknown."""
         known = self._named.get(target)
         return 0.0 if known is None else now - known.at
 
     def report(self, target: TargetName, *, now: float) -> LimitReport | None:
-        """Return what is known of one target, to be told to a peer."""
+        """Return the report of one target for a peer, or None if nothing is known."""
         known = self._named.get(target)
         if known is None:
             return None
@@ -181,7 +183,7 @@
         return LimitReport(target=target, started=known.started, rate=known.rate, age=age)
 
     def rates(self, *, now: float) -> dict[TargetName, float]:
-        """Return the rates of the targets that name a limit now."""
+        """Return the rates of the targets with a limit in force."""
         named = ((name, known.rate) for name, known in self._named.items())
         return {
             name: rate
@@ -190,7 +192,7 @@
         }
 
     def tell(self, *, now: float, regular: bool) -> tuple[LimitReport, ...]:
-        """Return what the peers are to hear: all news, and in a regular digest more, by turns."""
+        """Return the reports of a digest: all changes, and in a regular one others by turns."""
         names = dict(self._news)
         self._news.clear()
         if regular:
@@ -198,7 +200,7 @@
         return tuple(filter(None, (self.report(name, now=now) for name in names)))
 
     def expire(self, now: float) -> None:
-        """Forget limits that have ended, and those of starts that are over."""
+        """Forget limits that ended long enough ago, and those of earlier starts of targets."""
         for target, known in list(self._named.items()):
             ended = known.rate is None and now - known.since > ENDED_SECONDS
             if ended or not self._starts.holds(target, known.started):
@@ -220,7 +222,7 @@
         now: float,
         own: bool,
     ) -> LimitChange | None:
-        """Take what a target said at some time, unless something later is known of its start."""
+        """Record an observation of a target, unless a later one of the same start is known."""
         known = self._known(target, started=started)
         if not self._starts.holds(target, started) or (known is not None and at <= known.at):
             return None
@@ -233,7 +235,7 @@
         return LimitChange(target=target, rate=rate, before=before, age=max(0.0, now - at))
 
     def _known(self, target: TargetName, *, started: int) -> _Named | None:
-        """Return what is known of a start of a target; one that does not tell is the same one."""
+        """Return the last observation of a start of a target; an unknown start matches any."""
         known = self._named.get(target)
         if known is None or (started and known.started not in (0, started)):
             return None
@@ -247,11 +249,11 @@
 
 
 def _followed(known: _Named | None, *, started: int, rate: float | None, at: float) -> _Named:
-    """Return what a target says now, after what it said before."""
+    """Return the record of an observation that follows a known one."""
     same = known is not None and (rate is None) == (known.rate is None)
     since = known.since if known is not None and same else at
     if rate is not None:
         return _Named(started=started, rate=rate, at=at, since=since)
-    # A host that had not heard of the limit does not know how high it was.
+    # A host that did not know of the limit does not know its rate.
     before = (known and (known.rate or known.before)) or UNREADABLE_RATE
     return _Named(started=started, rate=None, at=at, since=since, before=before)
--- a/src/azureswitch/serving/_permits.py
+++ b/src/azureswitch/serving/_permits.py
@@ -1,9 +1,9 @@
-"""Permits to send to targets that name a limit, which one host hands out for each of them.
+"""Permits to send to targets with a rate limit, issued by one host per target.
 
-The host that all others find for a target by hashing, its owner, spaces the requests of all hosts.
-So the sum is kept whatever the number of hosts, also where each has less than one request's share,
-and costs two messages for each permit.  A host without a permit does not send; one that cannot
-reach the owner leaves the target alone.
+The owner of a target, which all hosts determine by rendezvous hashing, spaces the requests of all
+hosts.  This keeps the limit for any number of hosts, also where the share of each is less than one
+request, at the cost of two messages per permit.  A host without a permit does not send; one that
+cannot reach the owner does not use the target.
 """
 
 from collections import deque
@@ -18,43 +18,43 @@
 from azureswitch.serving._limits import Limits
 
 AHEAD_SECONDS = 0.4
-"""Seconds ahead for which permits are given; a request waits for 0.5 s at least."""
+"""Seconds ahead of their time at which permits are issued; a request waits at least 0.5 s."""
 
 VALID_LEAST = 0.5
-"""Seconds for which a permit may be used, at least; a host of a busy fleet sends twice in it."""
+"""Minimum validity of a permit in seconds; a host of a busy fleet sends twice in this time."""
 
 VALID_MOST = 2.0
-"""Seconds for which it may be used at most, where a target takes few requests."""
+"""Maximum validity of a permit in seconds, for targets with a low rate."""
 
 FIRST_REQUESTS = 5.0
-"""Requests that are taken to have been sent just before a limit is heard of, and count."""
+"""Requests assumed to have been sent just before a limit became known, and counted to it."""
 
 FIRST_SECONDS = 3.0
-"""Seconds for which a target that names a limit for the first time gets nothing, at most."""
+"""Longest time in seconds without requests after a target first announces a limit."""
 
 ASK_TIMEOUT = 0.25
-"""Seconds after which a host asks again where the owner has not answered."""
+"""Seconds after which a host repeats a request that the owner has not answered."""
 
 ASKERS_SECONDS = 4.0
-"""Seconds for which a host that asked is taken to ask again."""
+"""Seconds after its last request for which a host is expected to ask again."""
 
 PAUSE_MOST = 8.0
-"""Seconds for which a host does not ask again at most, after a refusal."""
+"""Longest pause in seconds before a host asks again after a refusal."""
 
 PAUSE_SPREAD = (0.25, 0.75)
-"""Parts of the time in which all that ask have had a turn, after which a host asks again.
+"""Bounds of the jitter of a pause, as fractions of the time of one permit per asking host.
 
-Less than one, as the next one to ask must be there when the next permit is due.
+Less than one, as a host must ask by the time at which the next permit is due.
 """
 
 
 class _Schedule(Struct, kw_only=True):
-    """What an owner has given out for a target.
+    """The permits that an owner has issued for a target.
 
     Attributes:
-        begins: Before which nothing is given.
-        last: When the last permit may be used from.
-        askers: When each host asked last.
+        begins: Before this time no permit is valid.
+        last: The time from which the last permit is valid.
+        askers: When each host last asked.
     """
 
     begins: float
@@ -63,7 +63,7 @@
 
 
 class Allocator:
-    """Spaces the requests of all hosts at the targets whose permits this host hands out.
+    """Issues permits for the targets that this host owns, spaced by their limits.
 
     Args:
         random: The source of the jitter.
@@ -76,20 +76,20 @@
     def grant(
         self, target: TargetName, *, rate: float, since: float, host: HostName, now: float
     ) -> Grant:
-        """Give a host a permit, or tell it when to ask again.
+        """Issue a permit to a host, or return when it is to ask again.
 
         Args:
             target: The target.
-            rate: Requests a second that it takes.
-            since: Since when it has named a limit.
-            host: Who asks.
+            rate: Requests per second that it accepts.
+            since: Since when it has had a limit.
+            host: The host that asks.
             now: The time.
         """
         gap = 1.0 / rate
         schedule = self._schedules.get(target)
         if schedule is None:
             first = since + min(FIRST_SECONDS, FIRST_REQUESTS * gap)
-            # What another owner gave out before may still be used.
+            # Permits of a previous owner may still be valid.
             begins = max(first, now + min(gap, VALID_LEAST))
             schedule = _Schedule(begins=begins, last=begins - gap, askers={})
             self._schedules[target] = schedule
@@ -101,12 +101,12 @@
         return Grant(after=due - now, valid=min(VALID_MOST, max(VALID_LEAST, gap)))
 
     def keep(self, targets: Iterable[TargetName]) -> None:
-        """Forget what was given out for all targets but these."""
+        """Forget the permits issued for all targets but these."""
         for target in self._schedules.keys() - set(targets):
             del self._schedules[target]
 
     def _pause(self, schedule: _Schedule, due: float, *, gap: float, now: float) -> float:
-        """Return when a host is to ask again: those that ask share what is given out."""
+        """Return after how many seconds a host is to ask again, longer with more asking hosts."""
         askers = schedule.askers
         for host in [host for host, at in askers.items() if now - at > ASKERS_SECONDS]:
             del askers[host]
@@ -115,18 +115,18 @@
 
 
 class _Permit(Struct, frozen=True, kw_only=True):
-    """Leave to send one request, from one time to another."""
+    """Permission to send one request within a period of time."""
 
     begin: float
     end: float
 
 
 class Permits:
-    """The permits that this host has, and whom it asks for more.
+    """The permits that this host holds, and its requests for more.
 
     Args:
         host: This host.
-        fleet_hosts: Hosts that there may be while none can be known of.
+        fleet_hosts: Assumed number of hosts until the others are known.
         limits: The limits that are known.
         random: The source of the jitter.
     """
@@ -144,13 +144,13 @@
         self._asks: list[TargetName] = []
 
     def set_hosts(self, hosts: tuple[HostName, ...], *, fleet_hosts: int) -> None:
-        """Note who lives, and how many hosts there may be, those taken for dead included."""
+        """Replace the live hosts and the fleet size, which includes hosts considered dead."""
         self._hosts = hosts or (self._host,)
         self._fleet_hosts = max(len(self._hosts), fleet_hosts)
         self._owners.clear()
 
     def owner_of(self, target: TargetName) -> HostName:
-        """Return who hands out permits for a target."""
+        """Return the host that issues permits for a target."""
         owner = self._owners.get(target)
         if owner is None:
             owner = ranked(name=f"limit {target}", hosts=self._hosts)[0]
@@ -165,13 +165,13 @@
         return bool(held) and held[0].begin <= now
 
     def take(self, target: TargetName, *, now: float) -> None:
-        """Note that a request is sent to a target."""
+        """Use up a permit for a request that is sent to a target."""
         held = self._current(target, now=now)
         if held and held[0].begin <= now:
             held.popleft()
 
     def request(self, target: TargetName, *, now: float) -> None:
-        """Get a permit: at once where this host is the owner, and else by asking who is."""
+        """Request a permit: at once if this host is the owner, and else by asking the owner."""
         if self._current(target, now=now) or now < self._paused.get(target, 0.0):
             return
         if self.owner_of(target) == self._host:
@@ -181,18 +181,18 @@
             self._asks.append(target)
 
     def pop_asks(self) -> list[TargetName]:
-        """Return the targets of which permits are to be asked for now."""
+        """Remove and return the targets for which to ask their owners for permits."""
         asks, self._asks = self._asks, []
         return asks
 
     def grant(self, target: TargetName, *, host: HostName, now: float) -> Grant:
-        """Decide, as an owner, whether a host may send to a target."""
+        """Decide as the owner whether a host may send to a target."""
         rate = self._limits.rate(target, now=now)
         if rate is None:
-            # The asker hears with it that the limit has ended.
+            # The answer also tells the asking host that the limit has ended.
             return Grant(valid=VALID_LEAST)
         if self.owner_of(target) != self._host:
-            # Whoever asks here will soon know the same hosts as others do, and ask the owner.
+            # The hosts disagree about who is live; the asking host will soon ask the owner.
             return Grant(pause=ASK_TIMEOUT)
         since = self._limits.since(target)
         return self._allocator.grant(
@@ -200,7 +200,7 @@
         )
 
     def answer(self, target: TargetName, grant: Grant, *, now: float) -> None:
-        """Take the owner's answer."""
+        """Apply the owner's answer."""
         self._asked.pop(target, None)
         if not grant.valid:
             self._paused[target] = now + grant.pause
@@ -211,14 +211,14 @@
         self._held.setdefault(target, deque()).append(permit)
 
     def wait(self, target: TargetName, *, now: float) -> float:
-        """Return after how many seconds a request may perhaps be sent to a target."""
+        """Return the earliest time, in seconds from now, of a request to a target."""
         held = self._current(target, now=now)
         if held:
             return max(0.0, held[0].begin - now)
         return max(0.0, self._paused.get(target, 0.0) - now)
 
     def expire(self, targets: Iterable[TargetName]) -> None:
-        """Forget what concerns all targets but these, whose limits are known."""
+        """Forget all targets but these, the ones with known limits."""
         kept = set(targets)
         self._allocator.keep(kept)
         for known in (self._held, self._asked, self._paused, self._owners):
@@ -227,16 +227,16 @@
 
     @property
     def _share(self) -> float:
-        """The part of a rate that the hosts known here may use.
+        """The fraction of a rate that the live hosts may use.
 
-        Those on both sides of a cut each have an owner.  The side with more than half of all hosts
-        has the whole rate, and a smaller one its own part.
+        In a network partition each side has its own owner.  The side with more than half of all
+        hosts uses the whole rate, and a smaller one its proportional share.
         """
         live = len(self._hosts)
         return 1.0 if 2 * live > self._fleet_hosts else live / self._fleet_hosts
 
     def _current(self, target: TargetName, *, now: float) -> deque[_Permit]:
-        """Return the permits that are not over."""
+        """Return the permits that have not expired."""
         held = self._held.get(target)
         if held is None:
             return deque()
--- a/src/azureswitch/serving/_starts.py
+++ b/src/azureswitch/serving/_starts.py
@@ -1,4 +1,4 @@
-"""Which start of each target is known here: what is told of an earlier one no longer counts."""
+"""The latest known start of each target; information about an earlier one no longer counts."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,19 +10,19 @@
 from azureswitch.serving._digests import TargetStart
 
 GONE_MOST = 1_024
-"""Targets that are listed no more whose starts are remembered, at most.
+"""Upper bound of remembered starts of targets that are no longer listed.
 
-An entry may be missing for some seconds while the store is down and come back with a later start.
+While the store is down an entry may be missing for some seconds and come back with a later start.
 """
 
 
 class StartsAdopted(Struct, frozen=True, kw_only=True):
-    """What a list of targets says of their starts.
+    """The result of adopting a list of targets.
 
     Attributes:
-        targets: The entries that hold, of the latest starts known.
-        restarted: Targets of which an earlier start was known.
-        told: Targets whose start was not known before.
+        targets: The entries in force, with the latest known starts.
+        restarted: Targets with a later start than the one known before.
+        told: Targets whose start was unknown before.
     """
 
     targets: tuple[Target, ...]
@@ -31,9 +31,9 @@
 
 
 class Starts:
-    """The latest start known of each target, in milliseconds of its wall clock.
+    """The latest known start of each target, in milliseconds of its wall clock.
 
-    It never goes back: a start that is told late is over.
+    It never decreases: an earlier start that is reported late is over.
     """
 
     def __init__(self) -> None:
@@ -41,13 +41,13 @@
         self._known: dict[TargetName, int] = {}
 
     def adopt(self, targets: Iterable[Target]) -> StartsAdopted:
-        """Take over a list of targets.
+        """Adopt a list of targets.
 
         Args:
-            targets: The entries as told, some of them perhaps late.
+            targets: The entries as listed, some of them possibly outdated.
 
         Returns:
-            The entries that hold, and whose start is another one than before.
+            The entries in force, and the targets whose known start has changed.
         """
         held: dict[TargetName, Target] = {}
         restarted: set[TargetName] = set()
@@ -63,7 +63,7 @@
                 (restarted if known else told).add(name)
                 self._known[name] = target.started
             elif target.started < known:
-                # It was listed before, went, and came back with an entry of an earlier start.
+                # The target was listed before, was removed, and reappeared with an outdated entry.
                 target = replace(target, started=known)
             held[name] = target
         self._listed = held
@@ -73,11 +73,11 @@
         )
 
     def of(self, target: TargetName) -> int:
-        """Return the latest start known of a target, or zero where none was told."""
+        """Return the latest known start of a target, or zero where none is known."""
         return self._known.get(target, 0)
 
     def select(self, targets: Iterable[TargetName]) -> tuple[TargetStart, ...]:
-        """Return the starts of targets, each one once; those without a known one are left out."""
+        """Return the known starts of targets without duplicates; unknown ones are left out."""
         return tuple(
             TargetStart(target=name, started=self._known[name])
             for name in dict.fromkeys(targets)
@@ -85,24 +85,24 @@
         )
 
     def is_over(self, target: TargetName, started: int) -> bool:
-        """Return whether a start is an earlier one than is known; zero tells nothing."""
+        """Return whether a later start of the target is known; zero stands for an unknown start."""
         return 0 < started < self._known.get(target, 0)
 
     def holds(self, target: TargetName, started: int) -> bool:
-        """Return whether what is told of a start counts for the one known here.
+        """Return whether information about a start applies to the latest known one.
 
-        What is told of a start that one side does not know counts: hosts of an older version do not
-        tell starts, and targets need not say theirs.
+        It also applies if either start is unknown: hosts of an older version do not report starts,
+        and targets need not announce theirs.
         """
         known = self._known.get(target, 0)
         return not started or not known or started == known
 
     def ended(self, starts: Iterable[TargetStart]) -> frozenset[TargetName]:
-        """Return the targets of which another start is meant than the one known here."""
+        """Return the targets whose given start differs from the latest known one."""
         return frozenset([s.target for s in starts if not self.holds(s.target, s.started)])
 
     def _forget_gone(self) -> None:
-        """Forget starts of targets that are listed no more, those told first, beyond a bound."""
+        """Evict the oldest starts of targets that are no longer listed, beyond a bound."""
         if len(self._known) - len(self._listed) <= GONE_MOST:
             return
         gone = [name for name in self._known if name not in self._listed]
@@ -111,5 +111,5 @@
 
 
 def starts_by_target(starts: Iterable[TargetStart]) -> Mapping[TargetName, int]:
-    """Return starts by the names of their targets."""
+    """Return starts by target name."""
     return {item.target: item.started for item in starts}
--- a/src/azureswitch/serving/_state.py
+++ b/src/azureswitch/serving/_state.py
@@ -1,4 +1,4 @@
-"""What the serving reducer knows: calls, attempts and the parts of the policy."""
+"""The state of the serving reducer: calls, attempts, timers and the parts of the policy."""
 
 from enum import Enum
 from heapq import heappop, heappush
@@ -29,18 +29,18 @@
 from azureswitch.serving._target import Work
 
 DIGEST_PERIOD = 0.2
-"""Seconds between two regular digests where nothing else is said."""
+"""Default interval in seconds between regular digests."""
 
 ABANDONED_CLAIM_SECONDS = 600.0
-"""How long a claim whose call was given up on is awaited, to be settled as not run."""
+"""Seconds for which the claim of an abandoned call is awaited, to be settled as not run."""
 
 
 DEADLINE_MARGIN = 0.05
-"""Seconds before its deadline at which a call is ended, where time passes in ticks of as much."""
+"""Default seconds before its deadline at which a call is ended; one tick of the clock."""
 
 
 class Phase(Enum):
-    """Where an admitted call stands."""
+    """The phase of an admitted call."""
 
     CLAIMING = "claiming"
     WAITING = "waiting"
@@ -49,7 +49,7 @@
 
 
 class TimerKind(Enum):
-    """What is due when a timer fires."""
+    """The action that is due when a timer fires."""
 
     DEADLINE = "deadline"
     LATEST_START = "latest_start"
@@ -59,19 +59,19 @@
 
 
 class Attempt(Struct, kw_only=True):
-    """One attempt at one target, or at several for a prompt larger than one engine's memory.
+    """One attempt at one target, or at several for a prompt that is split over engines.
 
     Attributes:
-        number: Counts the attempts of the call.
-        targets: Where it was sent; the first one answers.
+        number: Its number among the attempts of the call.
+        targets: The targets that it was sent to; the first one answers.
         started: When it was sent.
-        work: What it puts on each of its targets.
-        cached_tokens: Tokens that were expected to be cached there.
-        priority: Smaller runs first.
-        alone: Whether its target had nothing else to do.
-        start: The start of the first target that it was sent to, or zero where none is told.
-        first_token: When its first token came, or None.
-        restarted: Those of its targets that have started again since.
+        work: The load on each of its targets.
+        cached_tokens: Tokens that were expected to be in the target's prefix cache.
+        priority: Its priority; smaller runs first.
+        alone: Whether its target had no other work.
+        start: The start of its first target when it was sent, or zero where it is unknown.
+        first_token: When its first token arrived, or None.
+        restarted: Those of its targets that have restarted since.
     """
 
     number: int
@@ -87,17 +87,17 @@
 
     @property
     def counted(self) -> tuple[TargetName, ...]:
-        """The targets whose accounts hold it: what a start had that is over is struck out."""
+        """The targets to whose load it counts: all but those that have restarted since."""
         if not self.restarted:
             return self.targets
         return tuple(name for name in self.targets if name not in self.restarted)
 
     @property
     def lost(self) -> bool:
-        """Whether a target that is to read its prompt has started again.
+        """Whether one of its targets has restarted before the first token.
 
-        Once output has come, its connection tells: such news may be late, and the attempt may run
-        at the new start.
+        After the first token the connection is decisive instead: news of a restart may be late, and
+        the attempt may be running on the restarted target.
         """
         return self.first_token is None and bool(self.restarted)
 
@@ -123,14 +123,18 @@
     failed: set[TargetName] = field(default_factory=set)
 
     def may_run_beside(self, running: int) -> bool:
-        """Return whether one more run is permitted, beside so many under way or called off now."""
+        """Return whether one more run is permitted besides ``running`` ones.
+
+        Args:
+            running: Attempts that are running or are being cancelled now.
+        """
         return self.call.repeatable and self.run_count + running < self.call.runs
 
 
 class Timer(Struct, frozen=True, kw_only=True, order=True):
-    """Something due for a call; a timer whose call has moved on is void.
+    """An action due for a call; it is ignored if the call has left the state that it was set for.
 
-    Timers are ordered by when they are due, and then by ``sequence``, which no two share.
+    Timers are ordered by due time, and then by ``sequence``, which is unique.
     """
 
     at: float
@@ -141,7 +145,7 @@
 
 
 class Timers:
-    """What is due, earliest first."""
+    """A queue of timers, earliest first."""
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
@@ -167,14 +171,14 @@
     Args:
         myself: This host.
         seed: Seeds every random choice.
-        retries: How many retries are permitted, or None for the usual budget.
+        retries: The retry budget, or None for the default one.
         digest_period: Seconds between two regular digests.
-        lean: Whether digests tell nothing but the ledger and the suspects, as hosts do that limit
-            no customers and split no engines by demand.
+        lean: Whether digests leave out loads, customers' use, demand and reserved memory, for hosts
+            that neither limit customers nor split engines by demand.
         deadline_margin: Seconds before its deadline at which a call is ended.
-        full_hosts: Hosts up to which all hear at once of each other's sends, and above which those
-            of one failure domain do.
-        fleet_hosts: Hosts that there may be while none can be known of.
+        full_hosts: Fleet size up to which all hosts receive all digests; in a larger fleet they go
+            to the failure domains concerned.
+        fleet_hosts: Assumed number of hosts until the others are known.
     """
 
     def __init__(
@@ -228,7 +232,7 @@
 
     @property
     def random(self) -> Random:
-        """The source of every random choice."""
+        """The random number generator of every random choice."""
         return self._random
 
     @property
@@ -243,21 +247,21 @@
 
     @property
     def closes_at(self) -> float:
-        """When this host takes no more new calls, or infinity where it goes on."""
+        """When this host stops accepting new calls, or infinity where it does not."""
         return min(self._closes_at, self._stops_at)
 
     @property
     def stops_at(self) -> float:
-        """When this host ends what is open, or infinity where it does not stop."""
+        """When this host ends its open calls, or infinity where it does not stop."""
         return self._stops_at
 
     @property
     def leaving_since(self) -> float:
-        """Since when this host is about to stop, or infinity where it is not."""
+        """Since when this host has been draining, or infinity where it is not."""
         return self._leaving_since
 
     def ends_at(self, call: Call) -> float:
-        """Return when a call is ended, so that its caller still hears of it in time."""
+        """Return when a call is ended, early enough for its caller to get the error in time."""
         return call.deadline - self._deadline_margin
 
     def ends_by(self, call: Call) -> float:
@@ -271,12 +275,12 @@
 
     @property
     def timers(self) -> Timers:
-        """What is due, and when."""
+        """The timers of the open calls."""
         return self._timers
 
     @property
     def fleet(self) -> Fleet:
-        """The targets and what is known of their load."""
+        """The targets and their known load."""
         return self._fleet
 
     @property
@@ -286,12 +290,12 @@
 
     @property
     def affinity(self) -> PrefixIndex:
-        """Which engines are believed to have which prefixes in their cache."""
+        """The prefixes that each engine is expected to have in its cache."""
         return self._affinity
 
     @property
     def fairness(self) -> Fairness:
-        """What each customer has used."""
+        """The engine time that each customer has used."""
         return self._fairness
 
     @property
@@ -301,27 +305,27 @@
 
     @property
     def split(self) -> Split:
-        """How many engines take long prompts."""
+        """The number of engines that take long prompts."""
         return self._split
 
     @property
     def retries(self) -> RetryBudget:
-        """How many retries live traffic permits."""
+        """The retry budget, which grows with traffic."""
         return self._retries
 
     @property
     def pauses(self) -> PauseBounds:
-        """For how long the streams of each service may pause."""
+        """The longest permitted pause of streams, by service."""
         return self._pauses
 
     @property
     def ledger(self) -> Ledger:
-        """What all hosts have sent to each target."""
+        """The unfinished attempts of all hosts at each target."""
         return self._ledger
 
     @property
     def domains(self) -> Domains:
-        """The failure domains that hear of this host's sends."""
+        """The failure domains that receive this host's digests."""
         return self._domains
 
     @property
@@ -331,26 +335,26 @@
 
     @property
     def limits(self) -> Limits:
-        """The limits that targets have named."""
+        """The rate limits that targets have announced."""
         return self._limits
 
     @property
     def permits(self) -> Permits:
-        """The permits to send to targets that name a limit."""
+        """The permits to send to targets with a rate limit."""
         return self._permits
 
     @property
     def starts(self) -> Starts:
-        """Which start of each target is known."""
+        """The known starts of targets."""
         return self._starts
 
     def adopt(self, snapshot: Snapshot) -> frozenset[TargetName]:
-        """Serve by a configuration, unless a later one is in force.
+        """Adopt a configuration, unless it or a later one is in force.
 
-        All that was believed of a target that has started again ends here.
+        The known state of targets that have restarted is discarded.
 
         Returns:
-            The targets that have started again.
+            The targets that have restarted.
         """
         if self._snapshot and snapshot.revision <= self._snapshot.revision:
             return frozenset()
@@ -367,7 +371,7 @@
         return adopted.restarted
 
     def note_leaving(self, target: TargetName, *, started: int) -> None:
-        """Send nothing new to a target that has said that it leaves."""
+        """Send no new work to a target that has announced that it drains."""
         self._departures.add(target, started=started)
         known = self._fleet.state(target)
         if known is not None:
@@ -382,31 +386,31 @@
             self._costs.restart(target)
 
     def _renew_pools(self) -> None:
-        """Let open calls go on at the targets of now; those that they came with may have left."""
+        """Update the pools of open calls, whose targets may have left the inventory."""
         for record in self._calls.values():
             call = record.call
             pool = self._fleet.pool(service=call.service, model=call.model)
             record.pool = pool or record.pool
 
     def close(self, *, now: float) -> None:
-        """Take no new calls; what is open goes on until its deadline, and may be sent again."""
+        """Accept no new calls; open ones continue until their deadline and may be retried."""
         self._closes_at = min(self._closes_at, now)
 
     def leave(self, *, now: float, until: float) -> None:
-        """Begin nothing more that cannot end by a moment, or by an earlier one set before."""
+        """Drain: start nothing that cannot end by a given time, or by an earlier one set before."""
         self._leaving_since = min(self._leaving_since, now)
         self._stops_at = min(self._stops_at, until)
 
     def abandon_claim(self, call: CallId, *, now: float) -> None:
-        """Remember that a claim under way belongs to a call that was given up on."""
+        """Record that a pending claim belongs to a call that was abandoned."""
         self._abandoned_claims[call] = now + ABANDONED_CLAIM_SECONDS
 
     def take_abandoned_claim(self, call: CallId) -> bool:
-        """Forget an abandoned claim and return whether it was known."""
+        """Remove an abandoned claim and return whether it was known."""
         return self._abandoned_claims.pop(call, None) is not None
 
     def expire_claims(self, now: float) -> None:
-        """Forget the abandoned claims that never came; the oldest stand first."""
+        """Forget the abandoned claims that were not answered in time; they are in order of age."""
         while self._abandoned_claims:
             call, expiry = next(iter(self._abandoned_claims.items()))
             if expiry > now:
@@ -419,11 +423,11 @@
 
     @property
     def lean(self) -> bool:
-        """Whether digests tell nothing but the ledger and the suspects."""
+        """Whether digests leave out loads, customers' use, demand and reserved memory."""
         return self._lean
 
     def next_digest(self, *, now: float) -> int:
-        """Return the sequence number of the next digest, and note when another one is due."""
+        """Return the sequence number of the next digest, and schedule the one after it."""
         self._digest_due = now + self._digest_period
         self._digest_sequence += 1
         return self._digest_sequence
--- a/src/azureswitch/serving/_target.py
+++ b/src/azureswitch/serving/_target.py
@@ -1,4 +1,4 @@
-"""What is known of one target and of the work that it has."""
+"""The state and load of one target as known to this host."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -13,19 +13,19 @@
 from azureswitch.serving._length import Level
 
 REPORT_MAX_AGE = 3.0
-"""Seconds after which a load report says nothing any more."""
+"""Seconds after which a load report expires."""
 
 PEER_MAX_AGE = 2.0
-"""Seconds after which a peer's digest says nothing any more."""
+"""Seconds after which the loads in a peer's digest expire."""
 
 
 class Work(Struct, frozen=True, kw_only=True):
-    """What one attempt puts on each of its targets.
+    """The load of one attempt on each of its targets.
 
     Attributes:
         seconds: Its prefill in engine seconds.
         tokens: Tokens of memory that it may take.
-        level: How long its prompt is.
+        level: The length class of its prompt.
     """
 
     seconds: float
@@ -37,9 +37,9 @@
     """What one peer has outstanding at one target.
 
     Attributes:
-        load: What the peer said.
-        at: When it said so.
-        before: What it had said before that, or None.
+        load: The load in its last digest.
+        at: When that digest arrived.
+        before: The load in the digest before, or None.
     """
 
     load: TargetLoad
@@ -48,13 +48,13 @@
 
 
 class Sent(Struct, frozen=True, kw_only=True):
-    """One attempt that was sent to a target lately.
+    """One attempt that was recently sent to a target.
 
     Attributes:
         at: When it was sent.
         seconds: Its prefill in engine seconds.
         tokens: Tokens of memory that it may take.
-        level: How long its prompt is.
+        level: The length class of its prompt.
     """
 
     at: float
@@ -68,23 +68,23 @@
 
     Attributes:
         target: Its entry in the inventory.
-        nearness: 0 in this host's place, 1 in its region, 2 elsewhere.
-        backlog: By level, engine seconds of prompts that this host sent and that have no first
-            token.
+        nearness: The distance: 0 in this host's place, 1 in its region, 2 elsewhere.
+        backlog: By level, engine seconds of the prompts sent by this host that have not produced
+            a first token.
         running: Attempts of this host that have not ended.
         tokens: Tokens of memory that attempts of this host may take.
-        sent: What this host sent lately, oldest first.
+        sent: Attempts that this host sent recently, oldest first.
         report: The last load report.
-        report_at: When the report was true.
-        peers: What the peers have outstanding here.
-        unusable_until: When it may get new work again after a failure.
-        ejected_until: Until when others are preferred, since it failed here.
-        suspected_until: Until when others are preferred, since it failed at a peer.
-        saved_until: Until when a peer saves its memory.
-        silent_since: Since when it has answered no poll, or None.
-        stuck_since: Since when requests wait there although none runs, or None.
-        failures: Failures in a row.
-        ended_start: The start in reports that is over, as told by the target itself, or zero.
+        report_at: The time whose state the report describes.
+        peers: The outstanding load of each peer here.
+        unusable_until: Until when it gets no new work, as it was unreachable or full.
+        ejected_until: Until when other targets are preferred, as attempts of this host failed.
+        suspected_until: Until when other targets are preferred, as a peer reports it as suspect.
+        saved_until: Until when a peer reserves its memory for a long prompt.
+        silent_since: Since when it has not answered polls, or None.
+        stuck_since: Since when requests have waited there while none runs, or None.
+        failures: Consecutive failures.
+        ended_start: The start in the load reports of the target before it restarted, or zero.
     """
 
     target: Target
@@ -112,19 +112,19 @@
         return self.report is None or not self.report.draining
 
     def preferred(self, now: float) -> bool:
-        """Whether the target may get new work and has not failed lately."""
+        """Whether the target may get new work and has not failed recently."""
         return self.usable(now) and now >= max(self.ejected_until, self.suspected_until)
 
     def has_report(self, now: float) -> bool:
-        """Whether the load report still says something."""
+        """Whether there is a load report that has not expired."""
         return self.report is not None and now - self.report_at <= REPORT_MAX_AGE
 
     def waits(self, *, now: float, level: Level) -> float:
         """Estimate for how many engine seconds a new prompt of a level waits here.
 
-        A report counts what all hosts sent, but late; what this host sent since, and what the
-        peers have more than before, is added to it.  Without a report the hosts' own accounts
-        stand for it.
+        A report covers the attempts of all hosts, but with a delay; attempts that this host sent
+        since and the growth of the peers' loads are added to it.  Without a report the estimate is
+        the sum of the loads that the hosts account for themselves.
         """
         if self.report is None or not self.has_report(now):
             peers = sum(_peer_seconds(peer, now=now, level=level) for peer in self.peers.values())
@@ -138,7 +138,7 @@
         return self._reported(now=now, level=level) + since + grown
 
     def _reported(self, *, now: float, level: Level) -> float:
-        assert self.report is not None  # Asked for only where there is a report.
+        assert self.report is not None  # The caller has checked that there is a report.
         urgent = self.report.urgent_tokens / PREFILL_RATE
         rest = self.report.waiting_tokens / PREFILL_RATE - urgent
         if level is Level.SHORT:
@@ -148,13 +148,13 @@
         return max(0.0, urgent + rest - (now - self.report_at))
 
     def _middle(self) -> float:
-        """Return what the hosts say that they sent of the middle level."""
+        """Return the middle-level backlog of all hosts, by their own accounts."""
         return self.backlog[Level.MIDDLE] + sum(peer.load.middle for peer in self.peers.values())
 
     def free_tokens(self) -> int:
-        """Estimate the tokens of memory that are free, the prefix cache counted as free.
+        """Estimate the tokens of free memory, including those of the prefix cache.
 
-        A report leaves out requests that still wait for memory, which the hosts' own accounts hold.
+        A report does not include requests that wait for memory; the hosts' own accounts do.
         """
         reported = self.report.memory_used if self.report else 0
         since = sum(sent.tokens for sent in self._since_report())
@@ -165,12 +165,12 @@
         return (sent for sent in self.sent if sent.at > self.report_at)
 
     def prune(self, now: float) -> None:
-        """Forget sends that the next report is sure to cover."""
+        """Forget attempts that are old enough for any valid report to cover them."""
         while self.sent and now - self.sent[0].at > REPORT_MAX_AGE:
             self.sent.popleft()
 
     def waiting_count(self) -> int:
-        """Return how many requests wait or run here, by the report and own sends."""
+        """Return how many requests wait or run here, by the report and this host's attempts."""
         reported = self.report.running + self.report.waiting if self.report else 0
         return max(reported, self.running)
 
--- a/src/azureswitch/serving/_throttling.py
+++ b/src/azureswitch/serving/_throttling.py
@@ -1,4 +1,4 @@
-"""Which targets may get a request within the limits that they have named."""
+"""Selection of targets within their rate limits, and refusal of calls that exceed them."""
 
 from math import inf
 
@@ -12,21 +12,19 @@
 from azureswitch.serving._target import TargetState
 
 ASKED_MOST = 4
-"""Targets of which a host asks for permits at once, where no other target can serve."""
+"""Targets for which a host requests permits at once, if no other target can serve."""
 
 UNHEARD_SECONDS = 3.0
-"""Seconds without an answer after which a limited target is tried, as its limit may have ended."""
+"""Seconds without an answer after which a limited target is probed, as its limit may have ended."""
 
 RETURN_SPREAD = 2.0
-"""Times the wait for a permit within which callers that are refused come back, each at another
-time.
-"""
+"""Upper bound of the jitter of a refusal's retry time, as a multiple of the wait for a permit."""
 
 
 def permitted(state: ServingState, targets: list[TargetState], *, now: float) -> list[TargetState]:
-    """Return the targets that may get a request now, and ask for permits for some of the others.
+    """Return the targets that may get a request now, and request permits for some of the others.
 
-    While others can serve, one at a time is asked for, which a later request can use.
+    If some may, a permit is requested for only one more, for a later call to use.
     """
     usable = [target for target in targets if target.usable(now)]
     if not state.limits.any:
@@ -40,12 +38,12 @@
     count = 1 if allowed else ASKED_MOST
     for target in state.random.sample(asked, min(count, len(asked))):
         state.permits.request(target.target.name, now=now)
-    # A permit that this host hands out itself is there at once.
+    # A permit that this host issues itself is available at once.
     return allowed + [target for target in held_back if _may_send(state, target, now=now)]
 
 
 def count_held_back(state: ServingState, pool: Pool, *, now: float) -> int:
-    """Return how many targets of a pool are left aside, as their limits permit no request now."""
+    """Return how many usable targets of a pool may get no request now due to their limits."""
     if not state.limits.any:
         return 0
     usable = (target for target in state.fleet.states(pool) if target.usable(now))
@@ -53,12 +51,12 @@
 
 
 def is_limited(state: ServingState, target: TargetState, *, now: float) -> bool:
-    """Return whether a target names a limit."""
+    """Return whether a target has a limit."""
     return state.limits.any and state.limits.rate(target.target.name, now=now) is not None
 
 
 def is_unheard(state: ServingState, target: TargetState, *, now: float) -> bool:
-    """Return whether a target that named a limit is to be tried, as nobody has heard it lately."""
+    """Return whether to probe a limited target, as no host has observed it lately."""
     if not is_limited(state, target, now=now):
         return False
     return state.limits.unheard(target.target.name, now=now) > UNHEARD_SECONDS
@@ -67,10 +65,11 @@
 def limit_refusal(
     state: ServingState, call: Call, pool: Pool, *, now: float
 ) -> LimitReachedError | None:
-    """Return why a call that arrives is refused, where all targets for it name limits.
+    """Return the error to refuse a new call with, or None if it may be served or queued.
 
-    It waits only where a permit may come in time, and for each customer no more calls do than may
-    get one: the one that sends most would take all the places.
+    If all of its targets have limits, a call is queued only while a permit may come in time, and
+    per customer only as many as may get one: otherwise the customer that sends most would fill the
+    queue.
     """
     if not all_limited(state, pool, now=now):
         return None
@@ -85,19 +84,19 @@
 
 
 def limit_reached(state: ServingState, pool: Pool, *, now: float) -> LimitReachedError:
-    """Return the refusal of a call, with a time to come back that differs from others'."""
+    """Return the error to refuse a call with, whose retry time has jitter."""
     rate = _whole_rate(state, pool, now=now)
     wait = max(seconds_until_permitted(state, pool, now=now), 1.0 / rate)
     return LimitReachedError(seconds=wait * state.random.uniform(1.0, RETURN_SPREAD))
 
 
 def all_limited(state: ServingState, pool: Pool, *, now: float) -> bool:
-    """Return whether each target of a pool that may be used names a limit."""
+    """Return whether all usable targets of a pool have limits."""
     return state.limits.any and _whole_rate(state, pool, now=now) < inf
 
 
 def seconds_until_permitted(state: ServingState, pool: Pool, *, now: float) -> float:
-    """Return after how many seconds one of the targets of a pool may perhaps get a request."""
+    """Return the seconds until the earliest time at which a target of a pool may get a request."""
     usable = (target for target in state.fleet.states(pool) if target.usable(now))
     waits = (
         (
@@ -111,12 +110,12 @@
 
 
 def lane_for(call: Call, level: Level) -> Lane:
-    """Return the queue that a call waits in, whose prompt is so long."""
+    """Return the queue for a call with a prompt of a level."""
     return Lane(service=call.service, model=call.model, level=level)
 
 
 def _whole_rate(state: ServingState, pool: Pool, *, now: float) -> float:
-    """Return how many requests a second the targets of a pool take, or infinity for any number."""
+    """Return the total rate of the usable targets of a pool, or infinity if one is unlimited."""
     usable = [target for target in state.fleet.states(pool) if target.usable(now)]
     rates = [state.limits.rate(target.target.name, now=now) for target in usable]
     return sum(inf if rate is None else rate for rate in rates) if rates else inf
