--- a/bench/limits.py
+++ b/bench/limits.py
@@ -169,7 +169,7 @@
     def __init__(self, *, rate: float, hosts: int) -> None:
         self.messages = 0
         limits = Limits(starts=Starts())
-        limits.name(TARGET, started=0, rate=rate, now=0.0)
+        limits.record_limit(TARGET, started=0, rate=rate, now=0.0)
         names = tuple(HostName(f"h{index}") for index in range(hosts))
         self._permits = [
             Permits(host=name, fleet_hosts=hosts, limits=limits, random=Random(index))
--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -32,13 +32,13 @@
 NO_HOST = HostName("")
 """Name of no host: the default, with which a retry waits for no turn."""
 
-CRASHES_MOST = 3
+QUARANTINE_CRASHES = 3
 """Crashed targets after which a request is quarantined.
 
 One or two may fail for another reason, first where it runs and then where it is retried.
 """
 
-TOGETHER_SECONDS = 2.0
+OCCASION_SECONDS = 2.0
 """Seconds within which crashes count as one occasion.
 
 The targets of a lost failure domain stop responding within one second of each other.
@@ -47,7 +47,7 @@
 QUARANTINE_SECONDS = 86_400.0
 """Longest quarantine in seconds; within a day the request or the targets can be fixed."""
 
-HOLD_SECONDS = (4.0, 10.0, 600.0, QUARANTINE_SECONDS)
+QUARANTINE_STEPS_SECONDS = (4.0, 10.0, 600.0, QUARANTINE_SECONDS)
 """Seconds of quarantine after a request's last crash, by its number of occasions.
 
 The first ones are short: requests that ran on targets lost together, also where that happens again
@@ -57,11 +57,11 @@
 TURN_SECONDS = 0.5
 """Seconds between the retries of two hosts; a target that crashes stops responding sooner."""
 
-TURNS_MOST = 6
+MAX_TURNS = 6
 """Hosts that retry `TURN_SECONDS` apart; with more, callers of the last would wait too long."""
 
 LATER_TURN_SECONDS = 0.02
-"""Seconds between the retries of the hosts after the first `TURNS_MOST`."""
+"""Seconds between the retries of the hosts after the first `MAX_TURNS`."""
 
 TRIAL_SECONDS = 5.0
 """Seconds for which a host awaits the outcome of the single retry after a quarantine."""
@@ -69,22 +69,22 @@
 SUSPECT_SECONDS = 3_600.0
 """Seconds for which the crashes of a request with too few for a quarantine are remembered."""
 
-SUSPECTS_MOST = 2_048
+MAX_SUSPECTS = 2_048
 """Upper bound of requests remembered; those interrupted longest ago are evicted first.
 
 A crashing engine interrupts as many requests as it has slots.
 """
 
-TELL_TIMES = 3
+REPORT_REPEATS = 3
 """Digests that report a crash; each one may be lost."""
 
-TOLD_CRASHES = CRASHES_MOST + len(HOLD_SECONDS) - 1
+MAX_REPORTED_CRASHES = QUARANTINE_CRASHES + len(QUARANTINE_STEPS_SECONDS) - 1
 """Upper bound of crashes reported per request, as many as its quarantine depends on."""
 
-RETOLD_MOST = 16
+MAX_REPEATED_QUARANTINES = 16
 """Quarantined requests in each regular digest, for hosts that started after the crashes."""
 
-CLEARED_MOST = 64
+MAX_CLEARED_CRASHES = 64
 """Upper bound of cleared crashes that are remembered and reported per request."""
 
 
@@ -145,8 +145,8 @@
         self._hosts: tuple[HostName, ...] = ()
         self._suspects: dict[RequestKey, _Suspect] = {}
         self._by_crash: defaultdict[TargetStart, set[RequestKey]] = defaultdict(set)
-        self._touched: set[RequestKey] = set()
-        self._untold: dict[RequestKey, int] = {}
+        self._changed_keys: set[RequestKey] = set()
+        self._unreported: dict[RequestKey, int] = {}
         self._changed = False
 
     @property
@@ -157,12 +157,12 @@
     @property
     def news(self) -> bool:
         """Whether the next digest reports something that some hosts may not have received yet."""
-        return bool(self._untold)
+        return bool(self._unreported)
 
     @property
     def touched(self) -> bool:
         """Whether `pop_changes` may return a change."""
-        return bool(self._touched)
+        return bool(self._changed_keys)
 
     def set_hosts(self, hosts: Iterable[HostName]) -> None:
         """Replace the live hosts, which take turns to retry a request after its quarantine."""
@@ -178,7 +178,7 @@
             return
         suspect.newest = now
         suspect.seen_here = True
-        self._tell(key)
+        self._mark_unreported(key)
 
     def answered(self, call: Call) -> None:
         """Clear a request that a target has answered of its crashes so far."""
@@ -189,7 +189,7 @@
         if suspect is not None and suspect.crashes:
             self._clear(key, suspect, tuple(suspect.crashes))
             suspect.answered_here = True
-            self._tell(key)
+            self._mark_unreported(key)
 
     def sent(self, call: Call, *, now: float) -> None:
         """Record that a call is sent; after a quarantine, other attempts await its outcome."""
@@ -197,7 +197,7 @@
         if suspect is not None and self._is_quarantined(suspect):
             suspect.trial_until = now + TRIAL_SECONDS
 
-    def hear(self, reports: Iterable[CrashReport], *, now: float) -> None:
+    def merge(self, reports: Iterable[CrashReport], *, now: float) -> None:
         """Merge reports of interrupted requests from another host or from the store."""
         for report in reports:
             if report.age >= QUARANTINE_SECONDS:
@@ -222,8 +222,8 @@
         suspect = self._suspects.get(_key(call))
         if suspect is None or not self._is_quarantined(suspect):
             return 0.0
-        held = suspect.newest + _hold_seconds(suspect) + self._turn_seconds(call)
-        return max(0.0, max(held, suspect.trial_until) - now)
+        until = suspect.newest + _quarantine_seconds(suspect) + self._turn_seconds(call)
+        return max(0.0, max(until, suspect.trial_until) - now)
 
     def quarantined(self) -> int:
         """Return the number of quarantined requests."""
@@ -232,7 +232,7 @@
     def pop_changes(self, *, now: float) -> list[QuarantineChange]:
         """Return the quarantines that began, were extended or ended since the last call."""
         found = []
-        for key in self._touched:
+        for key in self._changed_keys:
             suspect = self._suspects.get(key)
             if suspect is None:
                 continue
@@ -247,27 +247,29 @@
                     keep=suspect.answered_here if ended else suspect.seen_here,
                 )
             )
-        self._touched.clear()
+        self._changed_keys.clear()
         return found
 
-    def tell(self, *, now: float, regular: bool) -> tuple[CrashReport, ...]:
+    def collect_reports(self, *, now: float, regular: bool) -> tuple[CrashReport, ...]:
         """Return the reports of a digest: new ones, and in a regular one also quarantines."""
         self._changed = False
         if not self._suspects:
             return ()
-        told = {key: self._suspects[key] for key in self._untold}
-        self._untold = {key: left - 1 for key, left in self._untold.items() if left > 1}
+        reported = {key: self._suspects[key] for key in self._unreported}
+        self._unreported = {key: left - 1 for key, left in self._unreported.items() if left > 1}
         if regular:
-            held = self._quarantined().items()
-            told.update(nlargest(RETOLD_MOST, held, key=lambda item: item[1].newest))
-        return tuple(self._report(key, suspect, now=now) for key, suspect in told.items())
+            quarantined = self._quarantined().items()
+            reported.update(
+                nlargest(MAX_REPEATED_QUARANTINES, quarantined, key=lambda item: item[1].newest)
+            )
+        return tuple(self._report(key, suspect, now=now) for key, suspect in reported.items())
 
     def expire(self, now: float) -> None:
         """Forget the requests whose last crash is too old to count."""
         old = [
             key
             for key, suspect in self._suspects.items()
-            if now >= suspect.newest + _remembered(suspect)
+            if now >= suspect.newest + _retention_seconds(suspect)
         ]
         for key in old:
             self._forget(key)
@@ -275,13 +277,13 @@
     def _suspect(self, key: RequestKey, *, now: float) -> _Suspect:
         suspect = self._suspects.get(key)
         if suspect is None:
-            if len(self._suspects) >= SUSPECTS_MOST:
+            if len(self._suspects) >= MAX_SUSPECTS:
                 self._forget(min(self._suspects, key=lambda key: self._suspects[key].newest))
             suspect = self._suspects[key] = _Suspect(newest=now)
         return suspect
 
     def _forget(self, key: RequestKey) -> None:
-        self._untold.pop(key, None)
+        self._unreported.pop(key, None)
         for start in self._suspects.pop(key).crashes:
             self._unlink(key, start)
 
@@ -291,7 +293,7 @@
             return 0.0
         name = f"{call.customer} {call.fingerprint}"
         rank = ranked(name=name, hosts=self._hosts).index(self._host)
-        return min(rank, TURNS_MOST) * TURN_SECONDS + rank * LATER_TURN_SECONDS
+        return min(rank, MAX_TURNS) * TURN_SECONDS + rank * LATER_TURN_SECONDS
 
     def _add(self, key: RequestKey, suspect: _Suspect, start: TargetStart, *, at: float) -> bool:
         """Count a crash against a request and return whether it was unknown before."""
@@ -302,7 +304,7 @@
         if known is not None:
             return False
         self._by_crash[start].add(key)
-        self._touched.add(key)
+        self._changed_keys.add(key)
         return True
 
     def _clear(self, key: RequestKey, suspect: _Suspect, starts: Iterable[TargetStart]) -> None:
@@ -311,8 +313,8 @@
             if start in suspect.crashes:
                 del suspect.crashes[start]
                 self._unlink(key, start)
-                self._touched.add(key)
-        while len(suspect.cleared) > CLEARED_MOST:
+                self._changed_keys.add(key)
+        while len(suspect.cleared) > MAX_CLEARED_CRASHES:
             del suspect.cleared[next(iter(suspect.cleared))]
 
     def _unlink(self, key: RequestKey, start: TargetStart) -> None:
@@ -321,25 +323,28 @@
         if not keys:
             del self._by_crash[start]
 
-    def _tell(self, key: RequestKey) -> None:
-        self._untold[key] = TELL_TIMES
+    def _mark_unreported(self, key: RequestKey) -> None:
+        self._unreported[key] = REPORT_REPEATS
         self._changed = True
 
     def _is_quarantined(self, suspect: _Suspect) -> bool:
-        return len(suspect.crashes) >= CRASHES_MOST and len(self._own(suspect)) >= CRASHES_MOST
+        return (
+            len(suspect.crashes) >= QUARANTINE_CRASHES
+            and len(self._attributed(suspect)) >= QUARANTINE_CRASHES
+        )
 
     def _occasions(self, suspect: _Suspect) -> int:
         """Return the number of occasions of a quarantined request; zero where it is not one."""
         return len(_first_of_occasions(suspect)) if self._is_quarantined(suspect) else 0
 
-    def _own(self, suspect: _Suspect) -> set[TargetStart]:
+    def _attributed(self, suspect: _Suspect) -> set[TargetStart]:
         """Return the crashes that do not count against a request with more crashes.
 
         Among requests with equally many crashes the cause is unknown until one more target has
         crashed.
         """
         count = len(suspect.crashes)
-        least = count + 1 if count > CRASHES_MOST else count
+        least = count + 1 if count > QUARANTINE_CRASHES else count
         return {
             start
             for start in suspect.crashes
@@ -353,17 +358,19 @@
         return {key: found for key, found in self._suspects.items() if self._is_quarantined(found)}
 
     def _report(self, key: RequestKey, suspect: _Suspect, *, now: float) -> CrashReport:
-        own = self._own(suspect)
+        attributed = self._attributed(suspect)
         first = _first_of_occasions(suspect)
-        crashes = sorted(suspect.crashes, key=lambda start: (start not in own, start not in first))
-        told = crashes[:TOLD_CRASHES]
+        crashes = sorted(
+            suspect.crashes, key=lambda start: (start not in attributed, start not in first)
+        )
+        reported = crashes[:MAX_REPORTED_CRASHES]
         return CrashReport(
             customer=key.customer,
             fingerprint=key.fingerprint,
-            crashes=tuple(told),
+            crashes=tuple(reported),
             cleared=tuple(suspect.cleared),
             age=max(0.0, now - suspect.newest),
-            ages=tuple(max(0.0, now - suspect.crashes[start]) for start in told),
+            ages=tuple(max(0.0, now - suspect.crashes[start]) for start in reported),
         )
 
 
@@ -371,10 +378,10 @@
     return RequestKey(customer=call.customer, fingerprint=call.fingerprint)
 
 
-def _hold_seconds(suspect: _Suspect) -> float:
+def _quarantine_seconds(suspect: _Suspect) -> float:
     """Return the seconds for which a request is quarantined after its last crash."""
     occasions = len(_first_of_occasions(suspect))
-    return HOLD_SECONDS[min(occasions, len(HOLD_SECONDS)) - 1]
+    return QUARANTINE_STEPS_SECONDS[min(occasions, len(QUARANTINE_STEPS_SECONDS)) - 1]
 
 
 def _first_of_occasions(suspect: _Suspect) -> set[TargetStart]:
@@ -382,12 +389,12 @@
     first: set[TargetStart] = set()
     since = -inf
     for start, at in sorted(suspect.crashes.items(), key=lambda item: (item[1], item[0])):
-        if at > since + TOGETHER_SECONDS:
+        if at > since + OCCASION_SECONDS:
             first.add(start)
             since = at
     return first
 
 
-def _remembered(suspect: _Suspect) -> float:
+def _retention_seconds(suspect: _Suspect) -> float:
     """Return the seconds for which a request is remembered after its last crash."""
-    return QUARANTINE_SECONDS if len(suspect.crashes) >= CRASHES_MOST else SUSPECT_SECONDS
+    return QUARANTINE_SECONDS if len(suspect.crashes) >= QUARANTINE_CRASHES else SUSPECT_SECONDS
--- a/src/azureswitch/serving/_departures.py
+++ b/src/azureswitch/serving/_departures.py
@@ -11,7 +11,7 @@
 from azureswitch.core import TargetName
 from azureswitch.inventory import Target, TargetRole
 
-REMEMBERED_MOST = 1_024
+MAX_REMEMBERED_TARGETS = 1_024
 """Upper bound of targets remembered; the least recently announced are evicted first.
 
 It is large enough for a fleet of 600 targets to be replaced more than once.
@@ -27,7 +27,7 @@
     def add(self, target: TargetName, *, started: int) -> None:
         """Record that a start of a target drains; zero stands for an unknown start."""
         self._started[target] = max(started, self._started.pop(target, 0))
-        if len(self._started) > REMEMBERED_MOST:
+        if len(self._started) > MAX_REMEMBERED_TARGETS:
             del self._started[next(iter(self._started))]
 
     def apply(self, targets: Iterable[Target]) -> tuple[Target, ...]:
@@ -35,11 +35,11 @@
         if not self._started:
             return tuple(targets)
         return tuple(
-            replace(target, role=TargetRole.DRAINING) if self._leaves(target) else target
+            replace(target, role=TargetRole.DRAINING) if self._drains(target) else target
             for target in targets
         )
 
-    def _leaves(self, target: Target) -> bool:
+    def _drains(self, target: Target) -> bool:
         """Return whether an entry is of the start that drains, or of an earlier or unknown one."""
         started = self._started.get(target.name)
         if started is None:
--- a/src/azureswitch/serving/_fleet.py
+++ b/src/azureswitch/serving/_fleet.py
@@ -13,7 +13,7 @@
 from azureswitch.serving._length import Level
 from azureswitch.serving._target import PeerLoad, Sent, TargetState, Work
 
-REPORT_LAG = 0.25
+REPORT_LAG_SECONDS = 0.25
 """Seconds by which the state in a load report may be older than its measured age."""
 
 UNREACHABLE_SECONDS = 1.0
@@ -28,7 +28,7 @@
 MAX_UNSHARED_EJECTION_SECONDS = 4.0
 """The same for unshared calls; a new connection per attempt makes a wrong guess cheap."""
 
-SAVE_SECONDS = 1.0
+RESERVATION_SECONDS = 1.0
 """Seconds after which a reservation of a target's memory expires unless renewed."""
 
 SUSPECT_SECONDS = 1.0
@@ -67,9 +67,9 @@
         self._services: set[ServiceName] = set()
         self._loaded: set[TargetName] = set()
         self._suspects: dict[TargetName, float] = {}
-        self._savers: dict[HostName, float] = {}
-        self._saved: dict[TargetName, tuple[CallId, float]] = {}
-        self._heard: dict[HostName, set[TargetName]] = {}
+        self._reserving_hosts: dict[HostName, float] = {}
+        self._reserved: dict[TargetName, tuple[CallId, float]] = {}
+        self._peer_targets: dict[HostName, set[TargetName]] = {}
 
     def adopt(self, inventory: Inventory, *, restarted: Collection[TargetName] = ()) -> None:
         """Adopt the targets of a configuration and keep the known load of those that remain.
@@ -107,7 +107,7 @@
                 )
             self._loaded.discard(name)
             self._suspects.pop(name, None)
-            self._saved.pop(name, None)
+            self._reserved.pop(name, None)
 
     def _nearness(self, place: PlaceName, regions: dict[PlaceName, str]) -> int:
         if place == self._myself.place:
@@ -191,7 +191,7 @@
             return 0.0
         state.silent_since = None
         state.report = report
-        state.report_at = now - age - REPORT_LAG
+        state.report_at = now - age - REPORT_LAG_SECONDS
         state.prune(now)
         if report.running or not report.waiting:
             state.stuck_since = None
@@ -247,30 +247,30 @@
     def reserve_memory(self, targets: Iterable[TargetName], *, call: CallId, now: float) -> None:
         """Withhold other long prompts from targets for a while, so that memory becomes free."""
         for name in targets:
-            self._saved[name] = (call, now + SAVE_SECONDS)
+            self._reserved[name] = (call, now + RESERVATION_SECONDS)
 
     def may_reserve_memory(self, *, now: float) -> bool:
         """Return whether this host may reserve memory; only one host does at a time.
 
         If two began at the same time, the one with the greater name yields.
         """
-        for host, until in self._savers.items():
-            if now < until and (not self._saved or host < self._myself.name):
+        for host, until in self._reserving_hosts.items():
+            if now < until and (not self._reserved or host < self._myself.name):
                 return False
         return True
 
     def release_memory(self, call: CallId) -> None:
         """Release the memory that was reserved for a call."""
-        for name in [name for name, (owner, _) in self._saved.items() if owner == call]:
-            del self._saved[name]
+        for name in [name for name, (owner, _) in self._reserved.items() if owner == call]:
+            del self._reserved[name]
 
     def saved(self, *, now: float) -> tuple[TargetName, ...]:
         """Return the targets whose memory this host has reserved."""
-        return tuple(sorted(name for name, (_, until) in self._saved.items() if now < until))
+        return tuple(sorted(name for name, (_, until) in self._reserved.items() if now < until))
 
     def accepts_long_prompts(self, target: TargetName, *, call: CallId, now: float) -> bool:
         """Return whether a target's memory is not reserved for another call, here or at a peer."""
-        owner, until = self._saved.get(target, (call, 0.0))
+        owner, until = self._reserved.get(target, (call, 0.0))
         if owner != call and now < until:
             return False
         state = self._states.get(target)
@@ -283,36 +283,36 @@
 
     def set_hosts(self, hosts: Iterable[HostName]) -> None:
         """Set the live hosts and forget the outstanding work of all others."""
-        for host in self._heard.keys() - set(hosts):
-            for name in self._heard.pop(host):
+        for host in self._peer_targets.keys() - set(hosts):
+            for name in self._peer_targets.pop(host):
                 state = self._states.get(name)
                 if state is not None:
                     state.peers.pop(host, None)
 
-    def hear(self, digest: Digest, *, now: float) -> None:
+    def apply_digest(self, digest: Digest, *, now: float) -> None:
         """Apply the loads, suspects and reservations in a peer's digest."""
-        if digest.loads or self._heard.get(digest.host):
-            self._hear_loads(digest, now=now)
+        if digest.loads or self._peer_targets.get(digest.host):
+            self._apply_loads(digest, now=now)
         for name in digest.suspects:
             known = self._states.get(name)
             if known is not None:
                 known.suspected_until = now + SUSPECT_SECONDS
         if digest.saved:
-            self._savers[digest.host] = now + SAVE_SECONDS
+            self._reserving_hosts[digest.host] = now + RESERVATION_SECONDS
         else:
-            self._savers.pop(digest.host, None)
+            self._reserving_hosts.pop(digest.host, None)
         for name in digest.saved:
             known = self._states.get(name)
             if known is not None:
-                known.saved_until = now + SAVE_SECONDS
+                known.saved_until = now + RESERVATION_SECONDS
 
-    def _hear_loads(self, digest: Digest, *, now: float) -> None:
+    def _apply_loads(self, digest: Digest, *, now: float) -> None:
         loads = {load.target: load for load in digest.loads}
-        for name in self._heard.get(digest.host, set()) - loads.keys():
+        for name in self._peer_targets.get(digest.host, set()) - loads.keys():
             gone = self._states.get(name)
             if gone is not None:
                 gone.peers.pop(digest.host, None)
-        self._heard[digest.host] = set(loads)
+        self._peer_targets[digest.host] = set(loads)
         for name, load in loads.items():
             known = self._states.get(name)
             if known is not None:
--- a/src/azureswitch/serving/_gossip.py
+++ b/src/azureswitch/serving/_gossip.py
@@ -21,9 +21,9 @@
         sequence=state.next_digest(now=now),
         started=state.myself.started,
         suspects=state.fleet.suspects(now=now),
-        occupancies=state.ledger.tell(),
-        crashes=state.crashes.tell(now=now, regular=regular),
-        limits=state.limits.tell(now=now, regular=regular),
+        occupancies=state.ledger.collect_account(),
+        crashes=state.crashes.collect_reports(now=now, regular=regular),
+        limits=state.limits.collect_reports(now=now, regular=regular),
     )
     if not state.lean:
         digest = replace(
--- a/src/azureswitch/serving/_ledger.py
+++ b/src/azureswitch/serving/_ledger.py
@@ -96,8 +96,8 @@
         totals received from there and of the sum of the accounts known here.
         """
         accounted = self._accounted(target)
-        told = self._totals_at(target)
-        return accounted if told is None else _most(accounted, told)
+        totals = self._totals_at(target)
+        return accounted if totals is None else _maximum(accounted, totals)
 
     def _accounted(self, target: TargetName) -> Occupancy:
         """Return the load of this host and its peers at a target, by their accounts."""
@@ -119,7 +119,7 @@
         found = map(self._accounted, targets)
         return tuple(item for item in found if not _is_idle(item))
 
-    def hear_totals(self, totals: DomainTotals, *, now: float) -> None:
+    def set_totals(self, totals: DomainTotals, *, now: float) -> None:
         """Replace the totals of another failure domain."""
         self._domains[totals.place] = _Totals(
             at=now, occupancies={item.target: item for item in totals.occupancies}
@@ -136,18 +136,18 @@
         entry = self._entries.get((call, attempt))
         if entry is None:
             return
-        told = self._changed or any(item.reading for item in entry)
+        changed = self._changed or any(item.reading for item in entry)
         self._apply(entry, sign=-1)
-        written = tuple(_written(item) for item in entry)
-        self._entries[call, attempt] = written
-        self._apply(written, sign=1)
-        self._changed = told
+        remaining = tuple(_after_prefill(item) for item in entry)
+        self._entries[call, attempt] = remaining
+        self._apply(remaining, sign=1)
+        self._changed = changed
 
     def remove(self, *, call: CallId, attempt: int) -> None:
         """Remove an attempt that has ended."""
         self._apply(self._entries.pop((call, attempt), ()), sign=-1)
 
-    def tell(self) -> tuple[Occupancy, ...]:
+    def collect_account(self) -> tuple[Occupancy, ...]:
         """Return this host's account for its peers; idle targets are left out.
 
         The prefill of short prompts is not reported.  It takes 30 ms, and reporting its end would
@@ -155,10 +155,10 @@
         """
         self._changed = False
         self._begun = False
-        told = (replace(item, short_reading=0.0) for item in self._own.values())
-        return tuple(item for item in told if not _is_idle(item))
+        reported = (replace(item, short_reading=0.0) for item in self._own.values())
+        return tuple(item for item in reported if not _is_idle(item))
 
-    def hear(
+    def set_account(
         self,
         *,
         host: HostName,
@@ -175,7 +175,7 @@
             starts: The starts of targets that it refers to.
         """
         named = starts_by_target(starts)
-        counted = self._counted(occupancies, named)
+        counted = self._matching(occupancies, named)
         known = self._accounts.get(host)
         before = () if known is None else known.counted
         self._accounts[host] = _Account(
@@ -191,7 +191,7 @@
         Peers' entries without a start are removed as well, as they were reported before.
         """
         for key, entry in self._entries.items():
-            self._entries[key] = _elsewhere(entry, targets)
+            self._entries[key] = _without(entry, targets)
         for target in targets:
             if self._own.pop(target, None) is not None:
                 self._changed = True
@@ -214,7 +214,7 @@
         for target in targets:
             self._peers.pop(target, None)
         for host, account in self._accounts.items():
-            counted = self._counted(account.occupancies, account.starts)
+            counted = self._matching(account.occupancies, account.starts)
             self._accounts[host] = replace(account, counted=counted)
             _add(self._peers, (item for item in counted if item.target in targets), sign=1)
 
@@ -237,7 +237,7 @@
         if account is not None:
             _add(self._peers, account.counted, sign=-1)
 
-    def _counted(
+    def _matching(
         self, occupancies: tuple[Occupancy, ...], starts: Mapping[TargetName, int]
     ) -> tuple[Occupancy, ...]:
         """Return the occupancies that refer to the starts known here, or to unknown ones."""
@@ -278,7 +278,7 @@
     )
 
 
-def _most(first: Occupancy, second: Occupancy) -> Occupancy:
+def _maximum(first: Occupancy, second: Occupancy) -> Occupancy:
     return Occupancy(
         target=first.target,
         reading=max(first.reading, second.reading),
@@ -289,14 +289,14 @@
     )
 
 
-def _elsewhere(
+def _without(
     entry: tuple[Occupancy, ...], targets: Collection[TargetName]
 ) -> tuple[Occupancy, ...]:
     """Return the occupancies of an entry at all but some targets."""
     return tuple(item for item in entry if item.target not in targets)
 
 
-def _written(item: Occupancy) -> Occupancy:
+def _after_prefill(item: Occupancy) -> Occupancy:
     """Return an occupancy without its prefill."""
     return Occupancy(
         target=item.target,
--- a/src/azureswitch/serving/_limit_events.py
+++ b/src/azureswitch/serving/_limit_events.py
@@ -18,7 +18,7 @@
 
 def note_limit(state: ServingState, event: LimitNamed) -> list[Effect]:
     """Record a limit that a target announces, which applies from now on."""
-    change = state.limits.name(
+    change = state.limits.record_limit(
         event.target, started=event.started, rate=safe_rate(event.rate), now=event.now
     )
     if change is None:
@@ -28,18 +28,18 @@
 
 def note_no_limit(state: ServingState, event: LimitUnnamed) -> list[Effect]:
     """Record the end of a limit, which starts the ramp-up of its target."""
-    change = state.limits.unname(
+    change = state.limits.record_no_limit(
         event.target, started=event.started, sent=event.sent, now=event.now
     )
     return [] if change is None else [AnnounceLimit(change=change, text="")]
 
 
-def hear_limits(state: ServingState, reports: Iterable[LimitReport], *, now: float) -> list[Effect]:
+def merge_limits(state: ServingState, reports: Iterable[LimitReport], *, now: float) -> list[Effect]:
     """Merge the limits that a peer reports."""
-    return [AnnounceLimit(change=change) for change in state.limits.hear(reports, now=now)]
+    return [AnnounceLimit(change=change) for change in state.limits.merge(reports, now=now)]
 
 
-def asks(state: ServingState, *, now: float) -> list[Effect]:
+def request_permits(state: ServingState, *, now: float) -> list[Effect]:
     """Return the effects that ask owners for the permits that were missing."""
     effects: list[Effect] = []
     for target in state.permits.pop_asks():
@@ -52,7 +52,7 @@
 def answer_permit(state: ServingState, event: PermitAsked) -> list[Effect]:
     """Answer a peer's request for a permit; each side learns the other's report of the limit."""
     target, now = event.report.target, event.now
-    effects = hear_limits(state, [event.report], now=now)
+    effects = merge_limits(state, [event.report], now=now)
     grant = state.permits.grant(target, host=event.host, now=now)
     report = state.limits.report(target, now=now)
     answer = AnswerPermit(host=event.host, target=target, grant=grant, report=report)
@@ -64,18 +64,18 @@
     now = event.now
     effects: list[Effect] = []
     if event.report is not None:
-        effects += hear_limits(state, [event.report], now=now)
+        effects += merge_limits(state, [event.report], now=now)
     state.permits.answer(event.target, event.grant, now=now)
     state.queue.unblock()
     effects += drain_all(state, now=now)
     for record in list(state.calls.values()):
-        if record.phase is Phase.WAITING and _in_vain(state, record, now=now):
+        if record.phase is Phase.WAITING and _permit_too_late(state, record, now=now):
             step = partial(end_limited, state, record, now=now)
             effects += decide(state, record, step, now=now)
     return effects
 
 
-def _in_vain(state: ServingState, record: CallRecord, *, now: float) -> bool:
+def _permit_too_late(state: ServingState, record: CallRecord, *, now: float) -> bool:
     """Return whether a call waits for a permit that will not come in time."""
     if not all_limited(state, record.pool, now=now):
         return False
--- a/src/azureswitch/serving/_limits.py
+++ b/src/azureswitch/serving/_limits.py
@@ -12,7 +12,7 @@
 from azureswitch.serving._digests import LimitReport
 from azureswitch.serving._starts import Starts
 
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 """Lowest rate kept to, in requests per second; their answers show when the limit rises."""
 
 UNREADABLE_RATE = 0.5
@@ -20,10 +20,10 @@
 degree.
 """
 
-MOST_RATE = 10_000.0
+MAX_RATE = 10_000.0
 """Highest rate kept to, in requests per second; a higher limit has no effect on a host."""
 
-RISE_SECONDS = 3.0
+RAMP_SECONDS = 3.0
 """Seconds of the ramp-up of a target whose limit has ended."""
 
 DOUBLING_SECONDS = 0.5
@@ -35,10 +35,10 @@
 TRANSIT_SECONDS = 0.005
 """Assumed transit time in seconds of a message between hosts, added to the age of a report."""
 
-TOLD_MOST = 8
+MAX_REPEATED_LIMITS = 8
 """Upper bound of limits in a regular digest, which take turns."""
 
-REMEMBERED_MOST = 1_024
+MAX_REMEMBERED_TARGETS = 1_024
 """Upper bound of targets with a remembered limit; the least recently updated is evicted first."""
 
 
@@ -58,7 +58,7 @@
     age: float
 
 
-class _Named(Struct, frozen=True, kw_only=True):
+class _Observation(Struct, frozen=True, kw_only=True):
     """The last announcement of a target.
 
     Attributes:
@@ -80,7 +80,7 @@
     """Return an announced rate within bounds; None stands for one that cannot be parsed."""
     if rate is None:
         return UNREADABLE_RATE
-    return min(MOST_RATE, max(LEAST_RATE, rate))
+    return min(MAX_RATE, max(MIN_RATE, rate))
 
 
 class Limits:
@@ -92,32 +92,32 @@
 
     def __init__(self, *, starts: Starts) -> None:
         self._starts = starts
-        self._named: dict[TargetName, _Named] = {}
-        self._news: dict[TargetName, None] = {}
+        self._observations: dict[TargetName, _Observation] = {}
+        self._unreported: dict[TargetName, None] = {}
         self._turn = 0
 
     @property
     def any(self) -> bool:
         """Whether a limit, or the recent end of one, is known of any target."""
-        return bool(self._named)
+        return bool(self._observations)
 
     @property
     def targets(self) -> tuple[TargetName, ...]:
         """The targets with a limit or with one that ended recently."""
-        return tuple(self._named)
+        return tuple(self._observations)
 
     @property
     def news(self) -> bool:
         """Whether this host has observed a change that it has not gossiped yet."""
-        return bool(self._news)
+        return bool(self._unreported)
 
-    def name(
+    def record_limit(
         self, target: TargetName, *, started: int, rate: float, now: float
     ) -> LimitChange | None:
         """Record a limit that a target announced in an answer to this host."""
-        return self._hear(target, started=started, rate=rate, at=now, now=now, own=True)
+        return self._observe(target, started=started, rate=rate, at=now, now=now, own=True)
 
-    def unname(
+    def record_no_limit(
         self, target: TargetName, *, started: int, sent: float, now: float
     ) -> LimitChange | None:
         """Record that the answer to a request announced no limit.
@@ -129,17 +129,17 @@
                 request from before the limit was observed is ignored.
             now: The time.
         """
-        known = self._named.get(target)
+        known = self._observations.get(target)
         if known is None or known.rate is None or sent <= known.at:
             return None
-        return self._hear(target, started=started, rate=None, at=now, now=now, own=True)
+        return self._observe(target, started=started, rate=None, at=now, now=now, own=True)
 
-    def hear(self, reports: Iterable[LimitReport], *, now: float) -> list[LimitChange]:
+    def merge(self, reports: Iterable[LimitReport], *, now: float) -> list[LimitChange]:
         """Merge a peer's reports, where newer than what is known, and return the changes."""
         changes = []
         for report in reports:
             at = now - report.age - TRANSIT_SECONDS
-            change = self._hear(
+            change = self._observe(
                 report.target, started=report.started, rate=report.rate, at=at, now=now, own=False
             )
             if change is not None:
@@ -151,32 +151,32 @@
 
         After the end of a limit the rate ramps up, so that the hosts do not all send at once.
         """
-        known = self._named.get(target)
+        known = self._observations.get(target)
         if known is None or not self._starts.holds(target, known.started):
             return None
         if known.rate is not None:
             return known.rate
         elapsed = now - known.since
-        if elapsed >= RISE_SECONDS:
+        if elapsed >= RAMP_SECONDS:
             return None
         return known.before * float(2.0 ** (max(0.0, elapsed) / DOUBLING_SECONDS))
 
     def knows(self, target: TargetName) -> bool:
         """Return whether a target has a limit or had one until recently."""
-        return target in self._named
+        return target in self._observations
 
     def since(self, target: TargetName) -> float:
         """Return since when a target has had its limit, or has had none; it must be a known one."""
-        return self._named[target].since
+        return self._observations[target].since
 
-    def unheard(self, target: TargetName, *, now: float) -> float:
+    def seconds_unobserved(self, target: TargetName, *, now: float) -> float:
         """Return the seconds since the last known observation of a target; zero if unknown."""
-        known = self._named.get(target)
+        known = self._observations.get(target)
         return 0.0 if known is None else now - known.at
 
     def report(self, target: TargetName, *, now: float) -> LimitReport | None:
         """Return the report of one target for a peer, or None if nothing is known."""
-        known = self._named.get(target)
+        known = self._observations.get(target)
         if known is None:
             return None
         age = max(0.0, now - known.at)
@@ -184,35 +184,35 @@
 
     def rates(self, *, now: float) -> dict[TargetName, float]:
         """Return the rates of the targets with a limit in force."""
-        named = ((name, known.rate) for name, known in self._named.items())
+        named = ((name, known.rate) for name, known in self._observations.items())
         return {
             name: rate
             for name, rate in named
             if rate is not None and self.rate(name, now=now) is not None
         }
 
-    def tell(self, *, now: float, regular: bool) -> tuple[LimitReport, ...]:
+    def collect_reports(self, *, now: float, regular: bool) -> tuple[LimitReport, ...]:
         """Return the reports of a digest: all changes, and in a regular one others by turns."""
-        names = dict(self._news)
-        self._news.clear()
+        names = dict(self._unreported)
+        self._unreported.clear()
         if regular:
-            names.update(dict.fromkeys(self._next_told()))
+            names.update(dict.fromkeys(self._next_repeated()))
         return tuple(filter(None, (self.report(name, now=now) for name in names)))
 
     def expire(self, now: float) -> None:
         """Forget limits that ended long enough ago, and those of earlier starts of targets."""
-        for target, known in list(self._named.items()):
+        for target, known in list(self._observations.items()):
             ended = known.rate is None and now - known.since > ENDED_SECONDS
             if ended or not self._starts.holds(target, known.started):
-                del self._named[target]
+                del self._observations[target]
 
-    def _next_told(self) -> Iterator[TargetName]:
-        names = list(self._named)
-        for _ in range(min(TOLD_MOST, len(names))):
+    def _next_repeated(self) -> Iterator[TargetName]:
+        names = list(self._observations)
+        for _ in range(min(MAX_REPEATED_LIMITS, len(names))):
             self._turn += 1
             yield names[self._turn % len(names)]
 
-    def _hear(
+    def _observe(
         self,
         target: TargetName,
         *,
@@ -226,34 +226,36 @@
         known = self._known(target, started=started)
         if not self._starts.holds(target, started) or (known is not None and at <= known.at):
             return None
-        self._keep(target, _followed(known, started=started, rate=rate, at=at))
+        self._keep(target, _next_observation(known, started=started, rate=rate, at=at))
         before = None if known is None else known.rate
         if rate == before:
             return None
         if own:
-            self._news[target] = None
+            self._unreported[target] = None
         return LimitChange(target=target, rate=rate, before=before, age=max(0.0, now - at))
 
-    def _known(self, target: TargetName, *, started: int) -> _Named | None:
+    def _known(self, target: TargetName, *, started: int) -> _Observation | None:
         """Return the last observation of a start of a target; an unknown start matches any."""
-        known = self._named.get(target)
+        known = self._observations.get(target)
         if known is None or (started and known.started not in (0, started)):
             return None
         return known
 
-    def _keep(self, target: TargetName, named: _Named) -> None:
-        self._named.pop(target, None)
-        self._named[target] = named
-        if len(self._named) > REMEMBERED_MOST:
-            del self._named[next(iter(self._named))]
+    def _keep(self, target: TargetName, observation: _Observation) -> None:
+        self._observations.pop(target, None)
+        self._observations[target] = observation
+        if len(self._observations) > MAX_REMEMBERED_TARGETS:
+            del self._observations[next(iter(self._observations))]
 
 
-def _followed(known: _Named | None, *, started: int, rate: float | None, at: float) -> _Named:
+def _next_observation(
+    known: _Observation | None, *, started: int, rate: float | None, at: float
+) -> _Observation:
     """Return the record of an observation that follows a known one."""
     same = known is not None and (rate is None) == (known.rate is None)
     since = known.since if known is not None and same else at
     if rate is not None:
-        return _Named(started=started, rate=rate, at=at, since=since)
+        return _Observation(started=started, rate=rate, at=at, since=since)
     # A host that did not know of the limit does not know its rate.
     before = (known and (known.rate or known.before)) or UNREADABLE_RATE
-    return _Named(started=started, rate=None, at=at, since=since, before=before)
+    return _Observation(started=started, rate=None, at=at, since=since, before=before)
--- a/src/azureswitch/serving/_permits.py
+++ b/src/azureswitch/serving/_permits.py
@@ -17,31 +17,31 @@
 from azureswitch.serving._digests import Grant
 from azureswitch.serving._limits import Limits
 
-AHEAD_SECONDS = 0.4
+LEAD_SECONDS = 0.4
 """Seconds ahead of their time at which permits are issued; a request waits at least 0.5 s."""
 
-VALID_LEAST = 0.5
+MIN_VALID_SECONDS = 0.5
 """Minimum validity of a permit in seconds; a host of a busy fleet sends twice in this time."""
 
-VALID_MOST = 2.0
+MAX_VALID_SECONDS = 2.0
 """Maximum validity of a permit in seconds, for targets with a low rate."""
 
 FIRST_REQUESTS = 5.0
 """Requests assumed to have been sent just before a limit became known, and counted to it."""
 
-FIRST_SECONDS = 3.0
+MAX_FIRST_PAUSE_SECONDS = 3.0
 """Longest time in seconds without requests after a target first announces a limit."""
 
-ASK_TIMEOUT = 0.25
+ASK_TIMEOUT_SECONDS = 0.25
 """Seconds after which a host repeats a request that the owner has not answered."""
 
-ASKERS_SECONDS = 4.0
+ASKER_TTL_SECONDS = 4.0
 """Seconds after its last request for which a host is expected to ask again."""
 
-PAUSE_MOST = 8.0
+MAX_PAUSE_SECONDS = 8.0
 """Longest pause in seconds before a host asks again after a refusal."""
 
-PAUSE_SPREAD = (0.25, 0.75)
+PAUSE_JITTER = (0.25, 0.75)
 """Bounds of the jitter of a pause, as fractions of the time of one permit per asking host.
 
 Less than one, as a host must ask by the time at which the next permit is due.
@@ -88,17 +88,17 @@
         gap = 1.0 / rate
         schedule = self._schedules.get(target)
         if schedule is None:
-            first = since + min(FIRST_SECONDS, FIRST_REQUESTS * gap)
+            first = since + min(MAX_FIRST_PAUSE_SECONDS, FIRST_REQUESTS * gap)
             # Permits of a previous owner may still be valid.
-            begins = max(first, now + min(gap, VALID_LEAST))
+            begins = max(first, now + min(gap, MIN_VALID_SECONDS))
             schedule = _Schedule(begins=begins, last=begins - gap, askers={})
             self._schedules[target] = schedule
         schedule.askers[host] = now
         due = max(schedule.begins, schedule.last + gap, now)
-        if due - now > AHEAD_SECONDS:
+        if due - now > LEAD_SECONDS:
             return Grant(pause=self._pause(schedule, due, gap=gap, now=now))
         schedule.last = due
-        return Grant(after=due - now, valid=min(VALID_MOST, max(VALID_LEAST, gap)))
+        return Grant(after=due - now, valid=min(MAX_VALID_SECONDS, max(MIN_VALID_SECONDS, gap)))
 
     def keep(self, targets: Iterable[TargetName]) -> None:
         """Forget the permits issued for all targets but these."""
@@ -108,10 +108,10 @@
     def _pause(self, schedule: _Schedule, due: float, *, gap: float, now: float) -> float:
         """Return after how many seconds a host is to ask again, longer with more asking hosts."""
         askers = schedule.askers
-        for host in [host for host, at in askers.items() if now - at > ASKERS_SECONDS]:
+        for host in [host for host, at in askers.items() if now - at > ASKER_TTL_SECONDS]:
             del askers[host]
-        turn = len(askers) * gap * self._random.uniform(*PAUSE_SPREAD)
-        return min(PAUSE_MOST, max(due - now - AHEAD_SECONDS, turn))
+        turn = len(askers) * gap * self._random.uniform(*PAUSE_JITTER)
+        return min(MAX_PAUSE_SECONDS, max(due - now - LEAD_SECONDS, turn))
 
 
 class _Permit(Struct, frozen=True, kw_only=True):
@@ -176,7 +176,7 @@
             return
         if self.owner_of(target) == self._host:
             self.answer(target, self.grant(target, host=self._host, now=now), now=now)
-        elif now - self._asked.get(target, -ASK_TIMEOUT) >= ASK_TIMEOUT:
+        elif now - self._asked.get(target, -ASK_TIMEOUT_SECONDS) >= ASK_TIMEOUT_SECONDS:
             self._asked[target] = now
             self._asks.append(target)
 
@@ -190,10 +190,10 @@
         rate = self._limits.rate(target, now=now)
         if rate is None:
             # The answer also tells the asking host that the limit has ended.
-            return Grant(valid=VALID_LEAST)
+            return Grant(valid=MIN_VALID_SECONDS)
         if self.owner_of(target) != self._host:
             # The hosts disagree about who is live; the asking host will soon ask the owner.
-            return Grant(pause=ASK_TIMEOUT)
+            return Grant(pause=ASK_TIMEOUT_SECONDS)
         since = self._limits.since(target)
         return self._allocator.grant(
             target, rate=rate * self._share, since=since, host=host, now=now
--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -21,7 +21,7 @@
 from azureswitch.serving._spreading import offer_long
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState, Work
-from azureswitch.serving._throttling import is_limited, is_unheard, permitted
+from azureswitch.serving._throttling import is_limited, needs_probe, permitted
 
 SOUND_SHARE = 0.5
 """Share of the targets that must not have failed lately for the others to be avoided.
@@ -102,7 +102,7 @@
         target=target,
         there=there,
         limited=is_limited(state, target, now=now),
-        unheard=is_unheard(state, target, now=now),
+        unheard=needs_probe(state, target, now=now),
     )
 
 
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -67,10 +67,10 @@
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._limit_events import (
     answer_permit,
-    asks,
-    hear_limits,
+    merge_limits,
     note_limit,
     note_no_limit,
+    request_permits,
     take_permit,
 )
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
@@ -93,7 +93,7 @@
     effects = _apply(event, state)
     if state.crashes.touched:
         effects += beside(partial(_begin_quarantines, state, now=event.now), name="A quarantine")
-    effects += asks(state, now=event.now)
+    effects += request_permits(state, now=event.now)
     if state.ledger.changed or state.crashes.changed or state.limits.news:
         effects = [
             *effects,
@@ -320,29 +320,29 @@
 @_apply.register
 def _(event: DigestReceived, state: ServingState) -> list[Effect]:
     if event.digest.host != state.myself.name and state.fairness.hear(event.digest, now=event.now):
-        state.fleet.hear(_of_known_starts(state, event.digest), now=event.now)
+        state.fleet.apply_digest(_of_known_starts(state, event.digest), now=event.now)
         state.split.hear(event.digest, now=event.now)
-        state.ledger.hear(
+        state.ledger.set_account(
             host=event.digest.host,
             occupancies=event.digest.occupancies,
             starts=event.digest.starts,
             now=event.now,
         )
-        state.crashes.hear(event.digest.crashes, now=event.now)
-        return hear_limits(state, event.digest.limits, now=event.now)
+        state.crashes.merge(event.digest.crashes, now=event.now)
+        return merge_limits(state, event.digest.limits, now=event.now)
     return []
 
 
 @_apply.register
 def _(event: CrashesRecalled, state: ServingState) -> list[Effect]:
-    state.crashes.hear(event.reports, now=event.now)
+    state.crashes.merge(event.reports, now=event.now)
     return []
 
 
 @_apply.register
 def _(event: TotalsReceived, state: ServingState) -> list[Effect]:
     if event.totals.place != state.myself.place:
-        state.ledger.hear_totals(event.totals, now=event.now)
+        state.ledger.set_totals(event.totals, now=event.now)
     return []
 
 
--- a/src/azureswitch/serving/_starts.py
+++ b/src/azureswitch/serving/_starts.py
@@ -9,7 +9,7 @@
 from azureswitch.inventory import Target, latest
 from azureswitch.serving._digests import TargetStart
 
-GONE_MOST = 1_024
+MAX_UNLISTED_STARTS = 1_024
 """Upper bound of remembered starts of targets that are no longer listed.
 
 While the store is down an entry may be missing for some seconds and come back with a later start.
@@ -22,12 +22,12 @@
     Attributes:
         targets: The entries in force, with the latest known starts.
         restarted: Targets with a later start than the one known before.
-        told: Targets whose start was unknown before.
+        learned: Targets whose start was unknown before.
     """
 
     targets: tuple[Target, ...]
     restarted: frozenset[TargetName]
-    told: frozenset[TargetName]
+    learned: frozenset[TargetName]
 
 
 class Starts:
@@ -51,7 +51,7 @@
         """
         held: dict[TargetName, Target] = {}
         restarted: set[TargetName] = set()
-        told: set[TargetName] = set()
+        learned: set[TargetName] = set()
         for entry in targets:
             name = entry.name
             known = self._known.get(name, 0)
@@ -60,7 +60,7 @@
                 continue
             target = latest(self._listed.get(name), entry)
             if target.started > known:
-                (restarted if known else told).add(name)
+                (restarted if known else learned).add(name)
                 self._known[name] = target.started
             elif target.started < known:
                 # The target was listed before, was removed, and reappeared with an outdated entry.
@@ -69,7 +69,7 @@
         self._listed = held
         self._forget_gone()
         return StartsAdopted(
-            targets=tuple(held.values()), restarted=frozenset(restarted), told=frozenset(told)
+            targets=tuple(held.values()), restarted=frozenset(restarted), learned=frozenset(learned)
         )
 
     def of(self, target: TargetName) -> int:
@@ -103,10 +103,10 @@
 
     def _forget_gone(self) -> None:
         """Evict the oldest starts of targets that are no longer listed, beyond a bound."""
-        if len(self._known) - len(self._listed) <= GONE_MOST:
+        if len(self._known) - len(self._listed) <= MAX_UNLISTED_STARTS:
             return
         gone = [name for name in self._known if name not in self._listed]
-        for name in gone[:-GONE_MOST]:
+        for name in gone[:-MAX_UNLISTED_STARTS]:
             del self._known[name]
 
 
--- a/src/azureswitch/serving/_state.py
+++ b/src/azureswitch/serving/_state.py
@@ -364,7 +364,7 @@
         inventory = replace(snapshot.inventory, targets=targets)
         self._fleet.adopt(inventory, restarted=adopted.restarted)
         self._restart(adopted.restarted)
-        self._ledger.recount(adopted.told)
+        self._ledger.recount(adopted.learned)
         self._split.adopt(snapshot.rules)
         self._fairness.adopt(snapshot.inventory.customers)
         self._renew_pools()
--- a/src/azureswitch/serving/_throttling.py
+++ b/src/azureswitch/serving/_throttling.py
@@ -11,13 +11,13 @@
 from azureswitch.serving._state import ServingState
 from azureswitch.serving._target import TargetState
 
-ASKED_MOST = 4
+MAX_ASKED_TARGETS = 4
 """Targets for which a host requests permits at once, if no other target can serve."""
 
-UNHEARD_SECONDS = 3.0
+PROBE_SECONDS = 3.0
 """Seconds without an answer after which a limited target is probed, as its limit may have ended."""
 
-RETURN_SPREAD = 2.0
+MAX_RETRY_JITTER = 2.0
 """Upper bound of the jitter of a refusal's retry time, as a multiple of the wait for a permit."""
 
 
@@ -30,16 +30,16 @@
     if not state.limits.any:
         return usable
     allowed = [target for target in usable if _may_send(state, target, now=now)]
-    held_back = [target for target in usable if not _may_send(state, target, now=now)]
-    if not held_back:
+    blocked = [target for target in usable if not _may_send(state, target, now=now)]
+    if not blocked:
         return allowed
-    near = [target for target in held_back if not target.nearness]
-    asked = near if allowed and near else held_back
-    count = 1 if allowed else ASKED_MOST
+    near = [target for target in blocked if not target.nearness]
+    asked = near if allowed and near else blocked
+    count = 1 if allowed else MAX_ASKED_TARGETS
     for target in state.random.sample(asked, min(count, len(asked))):
         state.permits.request(target.target.name, now=now)
     # A permit that this host issues itself is available at once.
-    return allowed + [target for target in held_back if _may_send(state, target, now=now)]
+    return allowed + [target for target in blocked if _may_send(state, target, now=now)]
 
 
 def count_held_back(state: ServingState, pool: Pool, *, now: float) -> int:
@@ -55,11 +55,11 @@
     return state.limits.any and state.limits.rate(target.target.name, now=now) is not None
 
 
-def is_unheard(state: ServingState, target: TargetState, *, now: float) -> bool:
+def needs_probe(state: ServingState, target: TargetState, *, now: float) -> bool:
     """Return whether to probe a limited target, as no host has observed it lately."""
     if not is_limited(state, target, now=now):
         return False
-    return state.limits.unheard(target.target.name, now=now) > UNHEARD_SECONDS
+    return state.limits.seconds_unobserved(target.target.name, now=now) > PROBE_SECONDS
 
 
 def limit_refusal(
@@ -87,7 +87,7 @@
     """Return the error to refuse a call with, whose retry time has jitter."""
     rate = _whole_rate(state, pool, now=now)
     wait = max(seconds_until_permitted(state, pool, now=now), 1.0 / rate)
-    return LimitReachedError(seconds=wait * state.random.uniform(1.0, RETURN_SPREAD))
+    return LimitReachedError(seconds=wait * state.random.uniform(1.0, MAX_RETRY_JITTER))
 
 
 def all_limited(state: ServingState, pool: Pool, *, now: float) -> bool:
--- a/tests/serving/test_crashes.py
+++ b/tests/serving/test_crashes.py
@@ -35,11 +35,11 @@
     reduce,
 )
 from azureswitch.serving._crashes import (
-    HOLD_SECONDS,
     LATER_TURN_SECONDS,
-    SUSPECTS_MOST,
+    MAX_SUSPECTS,
+    MAX_TURNS,
+    QUARANTINE_STEPS_SECONDS,
     TURN_SECONDS,
-    TURNS_MOST,
     Crashes,
 )
 from tests.serving.engines import SERVICE, place_of, snapshot
@@ -453,7 +453,7 @@
     def test_table(self, reports: list[CrashReport], quarantined: str) -> None:
         """Three crashes quarantine a request, but those of another one or before an answer."""
         crashes = Crashes()
-        crashes.hear(reports, now=0.0)
+        crashes.merge(reports, now=0.0)
         assert [name for name in "ab" if crashes.quarantine_seconds(call(name), now=0.0)] == list(
             quarantined
         )
@@ -463,21 +463,21 @@
         """Hosts that were told the same, in any order and more than once, decide the same."""
         others = data.draw(st.permutations(reports + reports[:2]))
         one, two = Crashes(), Crashes()
-        one.hear(reports, now=0.0)
-        two.hear(others, now=0.0)
+        one.merge(reports, now=0.0)
+        two.merge(others, now=0.0)
         for name in "abc":
             assert one.quarantine_seconds(call(name), now=1.0) == two.quarantine_seconds(
                 call(name), now=1.0
             )
 
     @pytest.mark.parametrize("targets", [1, 3, 9])
-    @pytest.mark.parametrize(("occasions", "seconds"), list(enumerate(HOLD_SECONDS, 1)))
+    @pytest.mark.parametrize(("occasions", "seconds"), list(enumerate(QUARANTINE_STEPS_SECONDS, 1)))
     def test_seconds(self, targets: int, occasions: int, seconds: float) -> None:
         """It is held back for longer after each occasion that follows, however many crash there."""
         known = Crashes()
         for occasion in range(occasions):
             lost = range(100 * occasion, 100 * occasion + targets)
-            known.hear([report("a", lost)], now=20.0 * occasion)
+            known.merge([report("a", lost)], now=20.0 * occasion)
         now = 20.0 * (occasions - 1)
         held = occasions * targets >= 3
         assert known.quarantine_seconds(call("a"), now=now) == (seconds if held else 0.0)
@@ -495,13 +495,13 @@
         for name in names:
             known = Crashes(host=name)
             known.set_hosts(names)
-            known.hear([report("a", [1, 2, 3])], now=0.0)
+            known.merge([report("a", [1, 2, 3])], now=0.0)
             left.append(known.quarantine_seconds(call("a"), now=0.0))
         left.sort()
         apart = [round(after - before, 3) for before, after in pairwise(left)]
-        assert left[0] == HOLD_SECONDS[0]
-        assert apart[:TURNS_MOST] == [TURN_SECONDS + LATER_TURN_SECONDS] * TURNS_MOST
-        assert set(apart[TURNS_MOST:]) == {LATER_TURN_SECONDS}
+        assert left[0] == QUARANTINE_STEPS_SECONDS[0]
+        assert apart[:MAX_TURNS] == [TURN_SECONDS + LATER_TURN_SECONDS] * MAX_TURNS
+        assert set(apart[MAX_TURNS:]) == {LATER_TURN_SECONDS}
 
     def test_told_on(self) -> None:
         """A host that starts later counts the same occasions by what it is told."""
@@ -510,22 +510,22 @@
             for target in range(9):
                 start = TargetStart(target=TargetName(f"e{occasion}-{target}"), started=1)
                 first.record_crash(call("a"), start, now=20.0 * occasion)
-        told = first.tell(now=45.0, regular=True)
-        later.hear(told, now=1_045.0)
+        told = first.collect_reports(now=45.0, regular=True)
+        later.merge(told, now=1_045.0)
         left = first.quarantine_seconds(call("a"), now=45.0)
-        assert left == pytest.approx(HOLD_SECONDS[2] - 5.0)
+        assert left == pytest.approx(QUARANTINE_STEPS_SECONDS[2] - 5.0)
         assert later.quarantine_seconds(call("a"), now=1_045.0) == pytest.approx(left)
 
     def test_one_try(self) -> None:
         """As it ends one try goes through, and others wait for its outcome."""
         known = Crashes()
-        known.hear([report("a", [1, 2, 3])], now=0.0)
-        ended = HOLD_SECONDS[0]
+        known.merge([report("a", [1, 2, 3])], now=0.0)
+        ended = QUARANTINE_STEPS_SECONDS[0]
         known.sent(call("a"), now=ended)
         assert known.quarantine_seconds(call("a"), now=ended + 1.0)
         start = TargetStart(target=TargetName("e9"), started=1)
         known.record_crash(call("a"), start, now=ended + 2.0)
-        assert known.quarantine_seconds(call("a"), now=ended + 2.0) == HOLD_SECONDS[1]
+        assert known.quarantine_seconds(call("a"), now=ended + 2.0) == QUARANTINE_STEPS_SECONDS[1]
         known.sent(call("a"), now=200.0)
         known.answered(call("a"))
         assert not known.quarantine_seconds(call("a"), now=200.0)
@@ -533,9 +533,9 @@
     def test_bounded(self) -> None:
         """Of very many requests that broke off those are remembered that did so last."""
         known = Crashes()
-        count = SUSPECTS_MOST + 10
+        count = MAX_SUSPECTS + 10
         for number in range(count):
-            known.hear([report(f"r{number}", range(6 * number, 6 * number + 6))], now=number)
-        assert known.quarantined() == SUSPECTS_MOST
+            known.merge([report(f"r{number}", range(6 * number, 6 * number + 6))], now=number)
+        assert known.quarantined() == MAX_SUSPECTS
         assert not known.quarantine_seconds(call("r9"), now=9.0)
         assert known.quarantine_seconds(call("r10"), now=10.0)
--- a/tests/serving/test_limits.py
+++ b/tests/serving/test_limits.py
@@ -9,9 +9,9 @@
 from azureswitch.serving._digests import LimitReport
 from azureswitch.serving._limits import (
     ENDED_SECONDS,
-    LEAST_RATE,
-    MOST_RATE,
-    RISE_SECONDS,
+    MAX_RATE,
+    MIN_RATE,
+    RAMP_SECONDS,
     UNREADABLE_RATE,
     Limits,
     safe_rate,
@@ -222,10 +222,10 @@
         ("rate", "safe"),
         [
             (None, UNREADABLE_RATE),
-            (0.0, LEAST_RATE),
-            (0.01, LEAST_RATE),
+            (0.0, MIN_RATE),
+            (0.01, MIN_RATE),
             (1.5, 1.5),
-            (float("9" * 300), MOST_RATE),
+            (float("9" * 300), MAX_RATE),
         ],
     )
     def test_bad_value_is_taken_as_it_is(self, rate: float | None, safe: float) -> None:
@@ -241,25 +241,25 @@
     ) -> None:
         """Of two reports the one that was heard later is believed."""
         limits = Limits(starts=Starts())
-        limits.name(E0, started=0, rate=1.0, now=10.0)
-        limits.hear([LimitReport(target=E0, started=0, rate=rate, age=age)], now=11.0)
+        limits.record_limit(E0, started=0, rate=1.0, now=10.0)
+        limits.merge([LimitReport(target=E0, started=0, rate=rate, age=age)], now=11.0)
         assert limits.rates(now=11.0).get(E0) == known
 
     def test_answer_that_was_overtaken_ends_a_limit(self) -> None:
         """One to a request that was sent before the limit was heard of says nothing."""
         limits = Limits(starts=Starts())
-        limits.name(E0, started=0, rate=1.0, now=10.0)
-        assert limits.unname(E0, started=0, sent=9.9, now=10.1) is None
-        assert limits.unname(E0, started=0, sent=10.1, now=10.2) is not None
-        assert limits.rate(E0, now=10.2 + RISE_SECONDS) is None
+        limits.record_limit(E0, started=0, rate=1.0, now=10.0)
+        assert limits.record_no_limit(E0, started=0, sent=9.9, now=10.1) is None
+        assert limits.record_no_limit(E0, started=0, sent=10.1, now=10.2) is not None
+        assert limits.rate(E0, now=10.2 + RAMP_SECONDS) is None
         limits.expire(10.2 + ENDED_SECONDS + 0.1)
         assert not limits.any
 
     def test_end_of_a_limit_that_was_never_heard_of(self) -> None:
         """A host that hears of the end alone lets the target's requests rise as well."""
         limits = Limits(starts=Starts())
-        assert not limits.hear([LimitReport(target=E0, started=0, rate=None, age=0.0)], now=10.0)
-        rising = [limits.rate(E0, now=10.0 + seconds) for seconds in (0.1, 1.0, RISE_SECONDS)]
+        assert not limits.merge([LimitReport(target=E0, started=0, rate=None, age=0.0)], now=10.0)
+        rising = [limits.rate(E0, now=10.0 + seconds) for seconds in (0.1, 1.0, RAMP_SECONDS)]
         assert rising[0]
         assert rising[1]
         assert rising[2] is None
@@ -267,13 +267,13 @@
     def test_news_is_told_again_and_again(self) -> None:
         """It is told once, and by regular digests then."""
         limits = Limits(starts=Starts())
-        limits.name(E0, started=0, rate=1.0, now=10.0)
+        limits.record_limit(E0, started=0, rate=1.0, now=10.0)
         assert limits.news
-        assert len(limits.tell(now=10.0, regular=False)) == 1
-        assert not limits.tell(now=10.0, regular=False)
-        limits.name(E0, started=0, rate=1.0, now=10.5)
+        assert len(limits.collect_reports(now=10.0, regular=False)) == 1
+        assert not limits.collect_reports(now=10.0, regular=False)
+        limits.record_limit(E0, started=0, rate=1.0, now=10.5)
         assert not limits.news
-        assert len(limits.tell(now=10.6, regular=True)) == 1
+        assert len(limits.collect_reports(now=10.6, regular=True)) == 1
 
 
 class TestPermits:
@@ -282,7 +282,7 @@
     def test_two_hosts_take_themselves_for_the_owner(self) -> None:
         """A host that others take for the owner by mistake gives nothing out."""
         limits = Limits(starts=Starts())
-        limits.name(E0, started=0, rate=1.0, now=0.0)
+        limits.record_limit(E0, started=0, rate=1.0, now=0.0)
         random = Random(1)
         names = tuple(HostName(f"h{index}") for index in range(4))
         every = [Permits(host=name, fleet_hosts=4, limits=limits, random=random) for name in names]
--- a/tests/serving/test_starts.py
+++ b/tests/serving/test_starts.py
@@ -37,7 +37,7 @@
 )
 from azureswitch.serving._ledger import PEER_SECONDS
 from azureswitch.serving._length import Level
-from azureswitch.serving._starts import GONE_MOST
+from azureswitch.serving._starts import MAX_UNLISTED_STARTS
 from azureswitch.serving._target import TargetState
 from tests.serving.engines import snapshot as paced_snapshot
 from tests.serving.fixtures import Driver, booking, engine, model_call, only, plain_call, snapshot
@@ -331,13 +331,13 @@
         """Targets that are gone for good are not remembered for ever."""
         host = driver()
         for revision in range(2, 12):
-            names = [f"t{revision}-{index}" for index in range(GONE_MOST // 4)]
+            names = [f"t{revision}-{index}" for index in range(MAX_UNLISTED_STARTS // 4)]
             targets = [replace(booking(name), started=BORN) for name in names]
             config = snapshot(revision=revision, targets=targets)
             host.send(SnapshotAdopted(now=host.now, snapshot=config))
-        names = [f"t{r}-{i}" for r in range(2, 12) for i in range(GONE_MOST // 4)]
+        names = [f"t{r}-{i}" for r in range(2, 12) for i in range(MAX_UNLISTED_STARTS // 4)]
         known = host.state.starts.select([TargetName(name) for name in names])
-        assert len(known) == GONE_MOST + GONE_MOST // 4
+        assert len(known) == MAX_UNLISTED_STARTS + MAX_UNLISTED_STARTS // 4
 
 
 def cache_events(started: int) -> CacheEvents:
@@ -458,7 +458,7 @@
         if not again:
             assert host.state.ledger.at(gone) == Occupancy(target=gone)
         end(host, only(StartAttempt, host.effects)[-1], AttemptEnd.COMPLETE)
-        assert host.state.ledger.tell() == ()
+        assert host.state.ledger.collect_account() == ()
 
     @pytest.mark.parametrize("prompt", [150_000, 700_000])
     @pytest.mark.parametrize("index", [0, 1])
@@ -718,7 +718,7 @@
         assert set(self.finished) == set(self.calls)
         assert not self.open
         assert not self.driver.state.calls
-        assert self.driver.state.ledger.tell() == ()
+        assert self.driver.state.ledger.collect_account() == ()
         for name in NAMES:
             assert self.driver.state.ledger.at(name) == Occupancy(target=name)
 
