--- a/tests/known/test_known_failures.py
+++ b/tests/known/test_known_failures.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from bench.__main__ import known_records
 from tests.conftest import KnownFailure, read_known_failures
 
 LINE = "tests/a/test_a.py::TestA | a cause | issue 1 | make test"
@@ -47,3 +48,10 @@
         """A class covers its tests, and no other whose name begins alike."""
         (known,) = read_known_failures(LINE)
         assert known.covers(node) is covered
+
+    def test_benchmarks(self) -> None:
+        """A line covers a benchmark by the whole name of its record, and no test does."""
+        line = "bench adoption.4000.longest_turn | a cause | issue 1 | make bench"
+        assert known_records(f"{LINE}\n{line}\n") == {"adoption.4000.longest_turn"}
+        _, known = read_known_failures(f"{LINE}\n{line}")
+        assert known.covers("tests/a/test_a.py::TestA") is False
