--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -27,7 +27,7 @@
 from azureswitch.serving._queue import Lane
 from azureswitch.serving._retries import (
     HEDGE_COST,
-    MOST_RETRIES,
+    MAX_RETRIES,
     backoff,
     hedge_after,
     hold_seconds,
@@ -387,7 +387,7 @@
     pause = _pause(state, record)
     in_time = now + pause < state.ends_by(record.call)
     more_runs = record.run_count < record.call.runs
-    permitted = record.retry_count <= MOST_RETRIES and in_time and more_runs
+    permitted = record.retry_count <= MAX_RETRIES and in_time and more_runs
     if not permitted or not state.retries.take():
         return give_up(state, record, now=now)
     retried = observe(record, Observation.RETRIED)
--- a/src/azureswitch/serving/_retries.py
+++ b/src/azureswitch/serving/_retries.py
@@ -28,7 +28,7 @@
 STUCK_SECONDS = 1.0
 """Seconds for which requests wait at an engine that runs none before they are taken back."""
 
-MOST_RETRIES = 8
+MAX_RETRIES = 8
 """Retries of one call, at most."""
 
 BACKOFF_FIRST = 0.05
--- a/tests/serving/test_crashes.py
+++ b/tests/serving/test_crashes.py
@@ -57,7 +57,7 @@
 STABLE_SECONDS = 3.0
 """Seconds after its third crash from which on few retries of a request are permitted."""
 
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 """Retries that are permitted after that, as users ask."""
 
 TICK = 0.05
@@ -249,7 +249,7 @@
         come_again(fleet, 24)
         at, _ = third_crash(fleet)
         late = [item for item in fleet.of(FATAL) if item.at > at + STABLE_SECONDS]
-        assert len(late) <= MOST_RETRIES
+        assert len(late) <= MAX_RETRIES
 
     @pytest.mark.parametrize("hosts", [3, 9, 91])
     def test_many_callers(self, hosts: int) -> None:
@@ -262,7 +262,7 @@
             fleet.run(0.4)
         at, _ = third_crash(fleet)
         late = [item for item in fleet.of(FATAL) if item.at > at + STABLE_SECONDS]
-        assert len(late) <= MOST_RETRIES
+        assert len(late) <= MAX_RETRIES
 
     def test_refused_at_once(self) -> None:
         """It is refused as not run, with the time to come back, and doesn't wait."""
--- a/tests/serving/test_silence.py
+++ b/tests/serving/test_silence.py
@@ -20,7 +20,7 @@
     StartAttempt,
 )
 from azureswitch.serving._attempts import lane_of
-from azureswitch.serving._retries import MOST_RETRIES
+from azureswitch.serving._retries import MAX_RETRIES
 from tests.serving.fixtures import (
     CUSTOMERS,
     Driver,
@@ -56,7 +56,7 @@
 
 def use_retries(driver: Driver) -> None:
     """Let the call have been retried as often as any call is."""
-    driver.state.calls[CALL].retry_count = MOST_RETRIES
+    driver.state.calls[CALL].retry_count = MAX_RETRIES
 
 
 def near_deadline(driver: Driver) -> None:
