--- a/src/azureswitch/serving/_removal.py
+++ b/src/azureswitch/serving/_removal.py
@@ -11,7 +11,7 @@
 from azureswitch.serving._attempts import dispatch, lane_of, mark_failed, retry
 from azureswitch.serving._effects import Observation
 from azureswitch.serving._ending import cancel, decide, observe
-from azureswitch.serving._retries import MAX_RETRIES, longest_backoff
+from azureswitch.serving._retries import MAX_RETRIES, max_backoff
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, ServingState
 
@@ -140,7 +140,7 @@
 
 def _may_follow(state: ServingState, record: CallRecord, *, now: float, runs: int = 1) -> bool:
     """Return whether another attempt is permitted if so many that run are called off."""
-    pause = longest_backoff(record.retry_count + 1)
+    pause = max_backoff(record.retry_count + 1)
     in_time = now + pause < state.ends_by(record.call)
     more_retries = record.retry_count < MAX_RETRIES and state.retries.permits()
     held_back = state.crashes.seconds_left(record.call, now=now) > 0.0
--- a/src/azureswitch/serving/_retries.py
+++ b/src/azureswitch/serving/_retries.py
@@ -162,9 +162,9 @@
         retry: Counts retries of the call from 1.
         random: The source of the jitter.
     """
-    return random.uniform(0.25, 1.0) * longest_backoff(retry)
+    return random.uniform(0.25, 1.0) * max_backoff(retry)
 
 
-def longest_backoff(retry: int) -> float:
+def max_backoff(retry: int) -> float:
     """Return the most seconds to wait before a retry, which count from 1."""
     return min(BACKOFF_MOST, BACKOFF_FIRST * 2.0**retry)
