--- a/src/azureswitch/serving/_allowed.py
+++ b/src/azureswitch/serving/_allowed.py
@@ -7,7 +7,7 @@
 from azureswitch.serving._fleet import Pool
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._queue import Lane
-from azureswitch.serving._retries import hold_seconds
+from azureswitch.serving._retries import max_queue_seconds
 from azureswitch.serving._state import ServingState
 from azureswitch.serving._target import TargetState
 
@@ -75,7 +75,7 @@
     if not all_limited(state, pool, now=now):
         return None
     rate = _whole_rate(state, pool, now=now)
-    hold = hold_seconds(call)
+    hold = max_queue_seconds(call)
     wait = seconds_until_permitted(state, pool, now=now)
     lane = lane_for(call, level_of(call, state.rules))
     places = 1 + int(rate * hold / state.fairness.hosts)
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -30,7 +30,7 @@
     MAX_RETRIES,
     backoff,
     hedge_after,
-    hold_seconds,
+    max_queue_seconds,
     patience,
 )
 from azureswitch.serving._routing import choose
@@ -69,7 +69,7 @@
     state.fairness.lift(record.call.customer, floor)
     record.phase = Phase.WAITING
     if record.call.unshared:
-        at = now + hold_seconds(record.call)
+        at = now + max_queue_seconds(record.call)
         state.timers.set(at=at, kind=TimerKind.LATEST_START, call=record.call.id)
     state.queue.push(
         lane=lane,
--- a/src/azureswitch/serving/_limited.py
+++ b/src/azureswitch/serving/_limited.py
@@ -12,7 +12,7 @@
 from azureswitch.serving._events import LimitNamed, LimitUnnamed, PermitAnswered, PermitAsked
 from azureswitch.serving._giving_up import end_limited
 from azureswitch.serving._limits import safe_rate
-from azureswitch.serving._retries import hold_seconds
+from azureswitch.serving._retries import max_queue_seconds
 from azureswitch.serving._state import CallRecord, Phase, ServingState
 
 
@@ -80,4 +80,4 @@
     if not all_limited(state, record.pool, now=now):
         return False
     wait = seconds_until_permitted(state, record.pool, now=now)
-    return now + wait > record.arrived + hold_seconds(record.call)
+    return now + wait > record.arrived + max_queue_seconds(record.call)
--- a/src/azureswitch/serving/_retries.py
+++ b/src/azureswitch/serving/_retries.py
@@ -141,7 +141,7 @@
 """Share of its objective for which it does so; from there on waiting here counts against us."""
 
 
-def hold_seconds(call: Call) -> float:
+def max_queue_seconds(call: Call) -> float:
     """Return for how long a call waits here that its caller can send to another host."""
     return max(HOLD_LEAST, HOLD_SHARE * call.objective)
 
