--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -19,7 +19,7 @@
     PrioritizeAttempt,
     StartAttempt,
 )
-from azureswitch.serving._ending import beside, cancel_others, decide, finish, observe, release
+from azureswitch.serving._ending import beside, cancel_others, finish, observe, release, run_step
 from azureswitch.serving._events import AttemptEnd, AttemptEnded, TokensArrived
 from azureswitch.serving._fleet import EJECT_MOST, PACED_EJECT_MOST
 from azureswitch.serving._giving_up import end_quarantined, give_up
@@ -98,7 +98,7 @@
 def _start_next(state: ServingState, lane: Lane, *, now: float) -> list[Effect]:
     for call in state.queue.heads(lane, state.fairness.served):
         record = state.calls[call]
-        effects = decide(state, record, partial(_start_waiting, state, record, now=now), now=now)
+        effects = run_step(state, record, partial(_start_waiting, state, record, now=now), now=now)
         if effects:
             return effects
     return []
--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -21,7 +21,7 @@
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState
 
 
-def decide(
+def run_step(
     state: ServingState,
     record: CallRecord,
     step: Callable[[], list[Effect]],
--- a/src/azureswitch/serving/_limited.py
+++ b/src/azureswitch/serving/_limited.py
@@ -8,7 +8,7 @@
 from azureswitch.serving._attempts import drain_all
 from azureswitch.serving._digests import LimitReport
 from azureswitch.serving._effects import AnnounceLimit, AnswerPermit, AskPermit
-from azureswitch.serving._ending import decide
+from azureswitch.serving._ending import run_step
 from azureswitch.serving._events import LimitNamed, LimitUnnamed, PermitAnswered, PermitAsked
 from azureswitch.serving._giving_up import end_limited
 from azureswitch.serving._limits import safe_rate
@@ -71,7 +71,7 @@
     for record in list(state.calls.values()):
         if record.phase is Phase.WAITING and _in_vain(state, record, now=now):
             step = partial(end_limited, state, record, now=now)
-            effects += decide(state, record, step, now=now)
+            effects += run_step(state, record, step, now=now)
     return effects
 
 
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -26,7 +26,7 @@
     Observe,
     SettleClaim,
 )
-from azureswitch.serving._ending import beside, decide, finish, observe
+from azureswitch.serving._ending import beside, finish, observe, run_step
 from azureswitch.serving._events import (
     AttemptEnded,
     AttemptSilent,
@@ -104,7 +104,7 @@
         waiting = record.phase in (Phase.WAITING, Phase.BACKING_OFF)
         if waiting and state.crashes.seconds_left(record.call, now=now):
             step = partial(end_quarantined, state, record, now=now)
-            effects += decide(state, record, step, now=now)
+            effects += run_step(state, record, step, now=now)
     return effects
 
 
@@ -179,7 +179,7 @@
         return []
     record.claimed = True
     record.phase = Phase.WAITING
-    return decide(state, record, partial(dispatch, state, record, now=event.now), now=event.now)
+    return run_step(state, record, partial(dispatch, state, record, now=event.now), now=event.now)
 
 
 @_apply.register
@@ -228,7 +228,7 @@
     if record is None:
         return []
     step = partial(first_token, state, record, event.attempt, now=event.now)
-    return decide(state, record, step, now=event.now)
+    return run_step(state, record, step, now=event.now)
 
 
 @_apply.register
@@ -245,7 +245,7 @@
     if record is None:
         return []
     step = partial(silent, state, record, event.attempt, now=event.now)
-    return decide(state, record, step, now=event.now)
+    return run_step(state, record, step, now=event.now)
 
 
 @_apply.register
@@ -253,7 +253,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    return decide(state, record, partial(ended, state, record, event), now=event.now)
+    return run_step(state, record, partial(ended, state, record, event), now=event.now)
 
 
 # --- Targets --------------------------------------------------------------------------------------
@@ -392,7 +392,7 @@
     return [
         effect
         for record in list(state.calls.values())
-        for effect in decide(
+        for effect in run_step(
             state, record, partial(stop, state, record, now=event.now), now=event.now, final=True
         )
     ]
@@ -410,7 +410,7 @@
         if record is not None:
             step = partial(_fire, state, record, timer, now=now)
             final = timer.kind is TimerKind.DEADLINE
-            effects += decide(state, record, step, now=now, final=final)
+            effects += run_step(state, record, step, now=now, final=final)
     effects += beside(partial(drain_all, state, now=now), name="The queue")
     effects += beside(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
--- a/src/azureswitch/serving/_removal.py
+++ b/src/azureswitch/serving/_removal.py
@@ -10,7 +10,7 @@
 from azureswitch.core import Effect, TargetName
 from azureswitch.serving._attempts import dispatch, lane_of, mark_failed, retry
 from azureswitch.serving._effects import Observation
-from azureswitch.serving._ending import cancel, decide, observe
+from azureswitch.serving._ending import cancel, observe, run_step
 from azureswitch.serving._retries import MAX_RETRIES, max_backoff
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, ServingState
@@ -134,7 +134,7 @@
     return [
         effect
         for record in list(state.calls.values())
-        for effect in decide(state, record, partial(step, state, record, now=now), now=now)
+        for effect in run_step(state, record, partial(step, state, record, now=now), now=now)
     ]
 
 
