--- a/src/azureswitch/serving/_giving_up.py
+++ b/src/azureswitch/serving/_giving_up.py
@@ -48,7 +48,7 @@
     return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
 
 
-def out_of_time(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
+def end_expired(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """End a call whose deadline has come."""
     if record.attempts or record.may_have_run:
         error: AzureswitchError = DeadlineExceededError()
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -56,7 +56,7 @@
     TokensArrived,
     TotalsReceived,
 )
-from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
+from azureswitch.serving._giving_up import end_expired, end_quarantined, stop, too_late
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._limited import (
     answer_permit,
@@ -436,7 +436,7 @@
 
 def _fire(state: ServingState, record: CallRecord, timer: Timer, *, now: float) -> list[Effect]:
     if timer.kind is TimerKind.DEADLINE:
-        return out_of_time(state, record, now=now)
+        return end_expired(state, record, now=now)
     if timer.kind is TimerKind.LATEST_START and record.phase is Phase.WAITING:
         return too_late(state, record, now=now)
     if timer.kind is TimerKind.RETRY and record.phase is Phase.BACKING_OFF:
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_apart.py
@@ -71,7 +71,7 @@
 
 def at_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let the step fail that ends a call at its deadline."""
-    patch.setattr(_reduce, "out_of_time", failing(_reduce.out_of_time))
+    patch.setattr(_reduce, "end_expired", failing(_reduce.end_expired))
 
 
 def at_freeing(driver: Driver, patch: pytest.MonkeyPatch) -> None:
