--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -208,7 +208,7 @@
             fresh=True,
         )
         patience = Patience(
-            seconds=effect.first_patience, silent=lambda: self._silent(record, effect)
+            seconds=effect.first_output_timeout, silent=lambda: self._silent(record, effect)
         )
         with patience:
             async with stream as answer:
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -170,7 +170,7 @@
             reserved=choice.reserved,
             first_token=choice.first_token,
             accounts=state.ledger.accounts,
-            first_patience=silence.first,
+            first_output_timeout=silence.first,
             gap_patience=silence.gap,
             held_back=held_back,
         )
--- a/src/azureswitch/serving/_effects.py
+++ b/src/azureswitch/serving/_effects.py
@@ -63,7 +63,7 @@
     reserved: tuple[int, ...] = ()
     first_token: float = 0.0
     accounts: int = 0
-    first_patience: float = inf
+    first_output_timeout: float = inf
     gap_patience: float = inf
     held_back: int = 0
 
