--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -296,7 +296,7 @@
             # A caller that reads slowly is no fault of the target's.
             patience.suspend()
             await record.exchange.drain()
-            patience.begin(effect.gap_patience)
+            patience.begin(effect.output_gap_timeout)
         if splitter.torn:
             raise TargetAnswerError(target=effect.targets[0])
         if not record.exchange.started:
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -171,7 +171,7 @@
             first_token=choice.first_token,
             accounts=state.ledger.accounts,
             first_output_timeout=silence.first,
-            gap_patience=silence.gap,
+            output_gap_timeout=silence.gap,
             held_back=held_back,
         )
     ]
--- a/src/azureswitch/serving/_effects.py
+++ b/src/azureswitch/serving/_effects.py
@@ -64,7 +64,7 @@
     first_token: float = 0.0
     accounts: int = 0
     first_output_timeout: float = inf
-    gap_patience: float = inf
+    output_gap_timeout: float = inf
     held_back: int = 0
 
 
