--- a/src/azureswitch/serving/_retries.py
+++ b/src/azureswitch/serving/_retries.py
@@ -99,7 +99,7 @@
 PATIENCE_FACTOR = 3.0
 """Times the predicted time to the first token after which another target is tried."""
 
-GAP_PATIENCE = 1.2
+MIN_OUTPUT_GAP_SECONDS = 1.2
 """Seconds without output midway before another target is tried, at least.
 
 A pass that reads a part of a long prompt lasts 0.5 s; callers leave after 2 s.
@@ -131,7 +131,7 @@
     if not call.repeatable or not first_token:
         return Patience()
     first = max(FIRST_PATIENCE, PATIENCE_FACTOR * first_token)
-    return Patience(first=first, gap=max(GAP_PATIENCE, GAP_FACTOR * call.gap_objective))
+    return Patience(first=first, gap=max(MIN_OUTPUT_GAP_SECONDS, GAP_FACTOR * call.gap_objective))
 
 
 HOLD_LEAST = 0.5
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -18,7 +18,7 @@
 from azureswitch.gateway import Verdict
 from azureswitch.platform import PlatformDialect
 from azureswitch.server import CallerLimits
-from azureswitch.serving._retries import GAP_PATIENCE
+from azureswitch.serving._retries import MIN_OUTPUT_GAP_SECONDS
 from tests.gateway.fixtures import (
     PATIENCE,
     Act,
@@ -231,7 +231,7 @@
                 asking = asyncio.ensure_future(bed.ask(path, headers=model_headers()))
                 await reach(lambda: len(bed.fleet.runs) == 1)
                 await asyncio.sleep(0.1)
-                sleep(2.0 * GAP_PATIENCE)
+                sleep(2.0 * MIN_OUTPUT_GAP_SECONDS)
                 answer = await asking
                 assert (answer.head.status, answer.body) == (200, whole_stream(5))
                 assert len(bed.fleet.runs) == 1
--- a/tests/gateway/test_silence.py
+++ b/tests/gateway/test_silence.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from azureswitch.serving._retries import GAP_PATIENCE
+from azureswitch.serving._retries import MIN_OUTPUT_GAP_SECONDS
 from tests.gateway.fixtures import PATIENCE, Act, model_headers, serve, whole_stream
 
-SILENCE = GAP_PATIENCE + 0.4
+SILENCE = MIN_OUTPUT_GAP_SECONDS + 0.4
 """Seconds for which an engine reads a long prompt and writes nothing; callers leave after 2 s."""
 
 EVENTS = 5
