--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -22,7 +22,6 @@
 from azureswitch.serving._ending import beside, cancel_others, finish, observe, release, run_step
 from azureswitch.serving._events import AttemptEnd, AttemptEnded, TokensArrived
 from azureswitch.serving._fleet import EJECT_MOST, PACED_EJECT_MOST
-from azureswitch.serving._giving_up import end_quarantined, give_up
 from azureswitch.serving._length import Level, ageing_period, priority
 from azureswitch.serving._queue import Lane
 from azureswitch.serving._retries import (
@@ -35,6 +34,7 @@
 )
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState, TimerKind
+from azureswitch.serving._termination import end_quarantined, give_up
 
 BLOCK_SECONDS = {Level.SHORT: 0.02, Level.MIDDLE: 0.1, Level.LONG: 0.25}
 """Seconds for which a lane is not looked at again once no target had room for it."""
--- a/src/azureswitch/serving/_limited.py
+++ b/src/azureswitch/serving/_limited.py
@@ -10,10 +10,10 @@
 from azureswitch.serving._effects import AnnounceLimit, AnswerPermit, AskPermit
 from azureswitch.serving._ending import run_step
 from azureswitch.serving._events import LimitNamed, LimitUnnamed, PermitAnswered, PermitAsked
-from azureswitch.serving._giving_up import end_limited
 from azureswitch.serving._limits import safe_rate
 from azureswitch.serving._retries import max_queue_seconds
 from azureswitch.serving._state import CallRecord, Phase, ServingState
+from azureswitch.serving._termination import end_limited
 
 
 def note_limit(state: ServingState, event: LimitNamed) -> list[Effect]:
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -56,7 +56,6 @@
     TokensArrived,
     TotalsReceived,
 )
-from azureswitch.serving._giving_up import end_expired, end_quarantined, stop, too_late
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._limited import (
     answer_permit,
@@ -70,6 +69,7 @@
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
 from azureswitch.serving._telling import tell, tell_totals
+from azureswitch.serving._termination import end_expired, end_quarantined, stop, too_late
 
 TICK = 0.05
 """Seconds between two `Ticked` events."""
