--- a/bench/policy/_entry.py
+++ b/bench/policy/_entry.py
@@ -11,7 +11,7 @@
 from azureswitch.exceptions import AzureswitchError, ClaimUnavailableError, Ran
 from azureswitch.inventory import ServiceKind, Snapshot
 from azureswitch.serving import (
-    TICK,
+    TICK_SECONDS,
     AttemptEnd,
     AttemptEnded,
     CacheReported,
@@ -182,7 +182,7 @@
         """Adopt the configuration, and begin to poll and to tick."""
         self.adopt(self._world.snapshot)
         self.dispatch(PeersChanged(now=self._queue.now, hosts=hosts))
-        self._queue.after(self._random.uniform(0, TICK), self._tick)
+        self._queue.after(self._random.uniform(0, TICK_SECONDS), self._tick)
         if self._policy.polls:
             for engine in self._world.engines.values():
                 self._queue.after(self._random.uniform(0, POLL_PERIOD), self._poll, engine)
@@ -373,7 +373,7 @@
     def _tick(self) -> None:
         if not self._gone:
             self.dispatch(Ticked(now=self._queue.now))
-            self._queue.after(TICK, self._tick)
+            self._queue.after(TICK_SECONDS, self._tick)
 
     def _poll(self, engine: VirtualEngine) -> None:
         if self._gone:
--- a/src/azureswitch/entry/_shell.py
+++ b/src/azureswitch/entry/_shell.py
@@ -20,7 +20,7 @@
 from azureswitch.metrics import Metrics
 from azureswitch.ports import PlainAnswer
 from azureswitch.serving import (
-    TICK,
+    TICK_SECONDS,
     AnnounceQuarantine,
     CallArrived,
     CallerLeft,
@@ -167,7 +167,7 @@
     async def run(self) -> None:
         """Tell the reducer of time, until cancelled."""
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_SECONDS)
             self.dispatch(Ticked(now=self.now))
             self._check_stalls()
 
@@ -177,7 +177,7 @@
             await asyncio.gather(*(_over(record.answer) for record in self._records.values()))
             await asyncio.sleep(0)
             if self._records:
-                await asyncio.sleep(TICK)
+                await asyncio.sleep(TICK_SECONDS)
 
     async def kept(self, *, timeout: float) -> bool:
         """Wait until the outputs of ended jobs are in the store.
@@ -278,7 +278,7 @@
     def _forget(self, record: Record) -> None:
         """Drop an ended request once its attempts have ended too."""
         if record.attempts:
-            asyncio.get_running_loop().call_later(TICK, self._forget, record)
+            asyncio.get_running_loop().call_later(TICK_SECONDS, self._forget, record)
             return
         self._records.pop(record.call.id, None)
 
--- a/src/azureswitch/gateway/_shell.py
+++ b/src/azureswitch/gateway/_shell.py
@@ -33,7 +33,7 @@
 from azureswitch.metrics import Metrics
 from azureswitch.server import CloseReason
 from azureswitch.serving import (
-    TICK,
+    TICK_SECONDS,
     AnnounceLimit,
     AnnounceQuarantine,
     AnswerPermit,
@@ -193,7 +193,7 @@
         """Let time pass for the reducer until cancelled."""
         before = suspended()
         while True:
-            pause = until_step(TICK)
+            pause = until_step(TICK_SECONDS)
             due = self.now + pause
             await asyncio.sleep(pause)
             before = self._report_suspension(before)
--- a/src/azureswitch/serving/__init__.py
+++ b/src/azureswitch/serving/__init__.py
@@ -63,12 +63,12 @@
     TotalsReceived,
 )
 from azureswitch.serving._loop import Loop
-from azureswitch.serving._reduce import TICK, reduce
+from azureswitch.serving._reduce import TICK_SECONDS, reduce
 from azureswitch.serving._retries import RetryBudget
 from azureswitch.serving._state import ServingState
 
 __all__ = [
-    "TICK",
+    "TICK_SECONDS",
     "TURNED_SECONDS",
     "AttemptEnd",
     "AttemptEnded",
--- a/src/azureswitch/serving/_events.py
+++ b/src/azureswitch/serving/_events.py
@@ -299,7 +299,7 @@
 
 
 class Ticked(ServingEvent, frozen=True, kw_only=True):
-    """Time passed; sent every `azureswitch.serving.TICK` seconds."""
+    """Time passed; sent every `azureswitch.serving.TICK_SECONDS` seconds."""
 
 
 class HostSelf(Struct, frozen=True, kw_only=True):
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -71,7 +71,7 @@
 from azureswitch.serving._telling import tell, tell_totals
 from azureswitch.serving._termination import end_expired, end_quarantined, stop, too_late
 
-TICK = 0.05
+TICK_SECONDS = 0.05
 """Seconds between two `Ticked` events."""
 
 
--- a/tests/gateway/test_deadline.py
+++ b/tests/gateway/test_deadline.py
@@ -25,12 +25,12 @@
     gateway.adopt(deployment(routes=(lookups,)))
 
 
-@pytest.mark.parametrize("tick", [_shell.TICK, PATIENCE])
+@pytest.mark.parametrize("tick", [_shell.TICK_SECONDS, PATIENCE])
 def test_silent(tick: float, monkeypatch: pytest.MonkeyPatch) -> None:
     """It is not failed while its answer could come in time, and does not wait for a tick."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(_shell, "TICK", tick)
+        monkeypatch.setattr(_shell, "TICK_SECONDS", tick)
         log = KeptLog()
         async with serve(acts=(Act.HANG,) * COUNT, configure=configure, log=log) as bed:
             asking = []
--- a/tests/serving/test_machine.py
+++ b/tests/serving/test_machine.py
@@ -9,7 +9,7 @@
 from azureswitch.inventory import TargetRole
 from azureswitch.ports import LoadReport
 from azureswitch.serving import (
-    TICK,
+    TICK_SECONDS,
     AttemptEnd,
     AttemptEnded,
     Call,
@@ -123,7 +123,7 @@
         """One answer, in time, and true where it says that nothing ran."""
         call = self.calls[finish.call]
         assert finish.call not in self.finished
-        assert self.driver.now <= call.deadline + TICK
+        assert self.driver.now <= call.deadline + TICK_SECONDS
         if finish.error is not None and finish.error.ran is Ran.NOT_RUN:
             assert not self.may_have_run(finish.call)
         self.finished[finish.call] = finish
@@ -240,7 +240,7 @@
         """Time passes."""
         until = self.driver.now + seconds
         while self.driver.now < until:
-            self.driver.now = round(self.driver.now + TICK, 6)
+            self.driver.now = round(self.driver.now + TICK_SECONDS, 6)
             self.take(self.driver.send(Ticked(now=self.driver.now)))
 
     @rule(name=st.sampled_from(ENGINES))
@@ -316,7 +316,7 @@
     def answers_in_time(self) -> None:
         """Every call past its deadline has its answer, and no attempt of it is left."""
         for call in self.calls.values():
-            if self.driver.now > call.deadline + TICK:
+            if self.driver.now > call.deadline + TICK_SECONDS:
                 assert call.id in self.finished
         for key in self.starts:
             if key[0] in self.finished:
