--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -19,7 +19,14 @@
     PrioritizeAttempt,
     StartAttempt,
 )
-from azureswitch.serving._ending import beside, cancel_others, finish, observe, release, run_step
+from azureswitch.serving._ending import (
+    cancel_others,
+    finish,
+    observe,
+    release,
+    run_isolated,
+    run_step,
+)
 from azureswitch.serving._events import AttemptEnd, AttemptEnded, TokensArrived
 from azureswitch.serving._fleet import EJECT_MOST, PACED_EJECT_MOST
 from azureswitch.serving._length import Level, ageing_period, priority
@@ -28,9 +35,9 @@
     HEDGE_COST,
     MAX_RETRIES,
     backoff,
-    hedge_after,
+    hedge_delay,
     max_queue_seconds,
-    patience,
+    silence_timeouts,
 )
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState, TimerKind
@@ -117,7 +124,7 @@
     return [
         effect
         for lane in state.queue.lanes
-        for effect in beside(partial(drain, state, lane, now=now), name="The queue")
+        for effect in run_isolated(partial(drain, state, lane, now=now), name="The queue")
     ]
 
 
@@ -158,7 +165,7 @@
     if call.model and record.pool.pace is None:
         _set_ageing(state, record, attempt, now=now)
         _set_hedge(state, record, choice, now=now)
-    silence = patience(call, first_token=choice.first_token)
+    silence = silence_timeouts(call, first_token=choice.first_token)
     return [
         StartAttempt(
             call=call.id,
@@ -192,7 +199,7 @@
         return
     expected = choice.wait + choice.work.seconds * max(1.0, record.cost.stretch)
     state.timers.set(
-        at=now + hedge_after(expected), kind=TimerKind.HEDGE, call=record.call.id, attempt=1
+        at=now + hedge_delay(expected), kind=TimerKind.HEDGE, call=record.call.id, attempt=1
     )
 
 
--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -75,7 +75,7 @@
     ]
 
 
-def beside(step: Callable[[], list[Effect]], *, name: str) -> list[Effect]:
+def run_isolated(step: Callable[[], list[Effect]], *, name: str) -> list[Effect]:
     """Do what is no single call's; where it fails, what was decided for calls stands."""
     try:
         return step()
--- a/src/azureswitch/serving/_events.py
+++ b/src/azureswitch/serving/_events.py
@@ -18,7 +18,7 @@
 from azureswitch.ports import CacheEvents, LoadReport
 from azureswitch.serving._digests import CrashReport, Digest, DomainTotals, Grant, LimitReport
 
-MOST_RUNS = 9
+MAX_RUNS = 9
 """Targets that may run a call where nothing else is said: a first one and eight retries."""
 
 
@@ -60,7 +60,7 @@
     offset: int = 0
     objective: float = 0.0
     gap_objective: float = 0.0
-    runs: int = MOST_RUNS
+    runs: int = MAX_RUNS
     cancellable: bool = False
     unshared: bool = False
 
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -26,7 +26,7 @@
     Observe,
     SettleClaim,
 )
-from azureswitch.serving._ending import beside, finish, observe, run_step
+from azureswitch.serving._ending import finish, observe, run_isolated, run_step
 from azureswitch.serving._events import (
     AttemptEnded,
     AttemptSilent,
@@ -69,7 +69,12 @@
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
 from azureswitch.serving._telling import tell, tell_totals
-from azureswitch.serving._termination import end_expired, end_quarantined, stop, too_late
+from azureswitch.serving._termination import (
+    end_expired,
+    end_quarantined,
+    end_stopped,
+    end_unfinishable,
+)
 
 TICK_SECONDS = 0.05
 """Seconds between two `Ticked` events."""
@@ -87,10 +92,12 @@
     """
     effects = _apply(event, state)
     if state.crashes.touched:
-        effects += beside(partial(_begin_quarantines, state, now=event.now), name="A quarantine")
+        effects += run_isolated(
+            partial(_begin_quarantines, state, now=event.now), name="A quarantine"
+        )
     effects += asks(state, now=event.now)
     if state.ledger.changed or state.crashes.changed or state.limits.news:
-        effects = [*effects, *beside(partial(tell, state, now=event.now), name="A digest")]
+        effects = [*effects, *run_isolated(partial(tell, state, now=event.now), name="A digest")]
     return tuple(effects) or NO_EFFECTS
 
 
@@ -393,7 +400,11 @@
         effect
         for record in list(state.calls.values())
         for effect in run_step(
-            state, record, partial(stop, state, record, now=event.now), now=event.now, final=True
+            state,
+            record,
+            partial(end_stopped, state, record, now=event.now),
+            now=event.now,
+            final=True,
         )
     ]
 
@@ -411,12 +422,12 @@
             step = partial(_fire, state, record, timer, now=now)
             final = timer.kind is TimerKind.DEADLINE
             effects += run_step(state, record, step, now=now, final=final)
-    effects += beside(partial(drain_all, state, now=now), name="The queue")
-    effects += beside(partial(_expire, state, now=now), name="Forgetting")
+    effects += run_isolated(partial(drain_all, state, now=now), name="The queue")
+    effects += run_isolated(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
-        effects += beside(partial(tell, state, regular=True, now=now), name="A digest")
-        effects += beside(partial(tell_totals, state), name="The totals")
-        effects += beside(partial(_expire_slowly, state, now=now), name="Forgetting")
+        effects += run_isolated(partial(tell, state, regular=True, now=now), name="A digest")
+        effects += run_isolated(partial(tell_totals, state), name="The totals")
+        effects += run_isolated(partial(_expire_slowly, state, now=now), name="Forgetting")
     return effects
 
 
@@ -438,7 +449,7 @@
     if timer.kind is TimerKind.DEADLINE:
         return end_expired(state, record, now=now)
     if timer.kind is TimerKind.LATEST_START and record.phase is Phase.WAITING:
-        return too_late(state, record, now=now)
+        return end_unfinishable(state, record, now=now)
     if timer.kind is TimerKind.RETRY and record.phase is Phase.BACKING_OFF:
         return dispatch(state, record, now=now)
     if timer.kind is TimerKind.HEDGE:
--- a/src/azureswitch/serving/_retries.py
+++ b/src/azureswitch/serving/_retries.py
@@ -10,13 +10,13 @@
 RETRY_SHARE = 0.1
 """Retries permitted per admitted call."""
 
-RETRY_FLOOR = 20.0
+RETRY_BURST = 20.0
 """Retries permitted beside that, so that a quiet host may still retry."""
 
-HEDGE_FACTOR = 5.0
+HEDGE_DELAY_FACTOR = 5.0
 """Times its expected time to the first token after which a short prompt is hedged."""
 
-HEDGE_LEAST = 2.0
+MIN_HEDGE_DELAY_SECONDS = 2.0
 """Seconds without a first token before a hedge, at least."""
 
 HEDGE_COST = 2.0
@@ -31,14 +31,14 @@
 MAX_RETRIES = 8
 """Retries of one call, at most."""
 
-BACKOFF_FIRST = 0.05
+FIRST_BACKOFF_SECONDS = 0.05
 """Seconds before the first retry, at the middle of its jitter."""
 
-BACKOFF_MOST = 5.0
+MAX_BACKOFF_SECONDS = 5.0
 """Seconds that a backoff reaches at most."""
 
 
-LEAST_BURST = 1.0
+MIN_BURST = 1.0
 """Retries that a host may save up at least; with a share below one it could never retry at all."""
 
 
@@ -59,7 +59,7 @@
         self,
         *,
         share: float = RETRY_SHARE,
-        burst: float = RETRY_FLOOR,
+        burst: float = RETRY_BURST,
         fleet_burst: float | None = None,
     ) -> None:
         self._share = share
@@ -75,7 +75,7 @@
     def admitted(self) -> None:
         """Count an admitted call."""
         # Below zero only where the burst is less than one retry, up to which a host may save.
-        least = min(0.0, self._burst - LEAST_BURST)
+        least = min(0.0, self._burst - MIN_BURST)
         self._taken = max(least, self._taken - self._share)
 
     def permits(self, cost: float = 1.0) -> bool:
@@ -90,13 +90,13 @@
         return True
 
 
-FIRST_PATIENCE = 0.8
+MIN_FIRST_OUTPUT_SECONDS = 0.8
 """Seconds without a first token before another target is tried, at least.
 
 Callers leave after 2 s.
 """
 
-PATIENCE_FACTOR = 3.0
+FIRST_OUTPUT_FACTOR = 3.0
 """Times the predicted time to the first token after which another target is tried."""
 
 MIN_OUTPUT_GAP_SECONDS = 1.2
@@ -105,11 +105,11 @@
 A pass that reads a part of a long prompt lasts 0.5 s; callers leave after 2 s.
 """
 
-GAP_FACTOR = 3.0
+OUTPUT_GAP_FACTOR = 3.0
 """Times the objective for pauses after which another target is tried."""
 
 
-class Patience(Struct, frozen=True, kw_only=True):
+class SilenceTimeouts(Struct, frozen=True, kw_only=True):
     """How long an attempt may be silent, in seconds, before another target is tried.
 
     Attributes:
@@ -121,7 +121,7 @@
     gap: float = inf
 
 
-def patience(call: Call, *, first_token: float) -> Patience:
+def silence_timeouts(call: Call, *, first_token: float) -> SilenceTimeouts:
     """Return how long an attempt may be silent before another target is tried.
 
     Args:
@@ -129,30 +129,32 @@
         first_token: Predicted seconds to the first token, or zero where there is no prediction.
     """
     if not call.repeatable or not first_token:
-        return Patience()
-    first = max(FIRST_PATIENCE, PATIENCE_FACTOR * first_token)
-    return Patience(first=first, gap=max(MIN_OUTPUT_GAP_SECONDS, GAP_FACTOR * call.gap_objective))
+        return SilenceTimeouts()
+    first = max(MIN_FIRST_OUTPUT_SECONDS, FIRST_OUTPUT_FACTOR * first_token)
+    return SilenceTimeouts(
+        first=first, gap=max(MIN_OUTPUT_GAP_SECONDS, OUTPUT_GAP_FACTOR * call.gap_objective)
+    )
 
 
-HOLD_LEAST = 0.5
+MIN_QUEUE_SECONDS = 0.5
 """Seconds for which a call that can come back waits for a target, at least: one may be replaced."""
 
-HOLD_SHARE = 0.25
+QUEUE_OBJECTIVE_SHARE = 0.25
 """Share of its objective for which it does so; from there on waiting here counts against us."""
 
 
 def max_queue_seconds(call: Call) -> float:
     """Return for how long a call waits here that its caller can send to another host."""
-    return max(HOLD_LEAST, HOLD_SHARE * call.objective)
+    return max(MIN_QUEUE_SECONDS, QUEUE_OBJECTIVE_SHARE * call.objective)
 
 
-def hedge_after(expected: float) -> float:
+def hedge_delay(expected: float) -> float:
     """Return the seconds without a first token after which a call is hedged.
 
     Args:
         expected: Seconds to the first token that were expected.
     """
-    return max(HEDGE_LEAST, HEDGE_FACTOR * expected)
+    return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FACTOR * expected)
 
 
 def backoff(retry: int, *, random: Random) -> float:
@@ -167,4 +169,4 @@
 
 def max_backoff(retry: int) -> float:
     """Return the most seconds to wait before a retry, which count from 1."""
-    return min(BACKOFF_MOST, BACKOFF_FIRST * 2.0**retry)
+    return min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0**retry)
--- a/src/azureswitch/serving/_termination.py
+++ b/src/azureswitch/serving/_termination.py
@@ -57,7 +57,7 @@
     return finish(state, record, error=error, outcome=ClaimOutcome.NOT_RUN, now=now)
 
 
-def too_late(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
+def end_unfinishable(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Give up on a waiting call that could no longer finish in its time."""
     if record.may_have_run:
         return give_up(state, record, now=now)
@@ -67,7 +67,7 @@
     return finish(state, record, error=error, outcome=ClaimOutcome.NOT_RUN, now=now)
 
 
-def stop(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
+def end_stopped(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """End a call that is open as this host stops, and say truly whether it may have run."""
     seconds = backoff(1, random=state.random)
     if not record.attempts and not record.may_have_run:
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_apart.py
@@ -66,7 +66,7 @@
 
 def at_stop(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let the step fail that ends a call as its host stops."""
-    patch.setattr(_reduce, "stop", failing(_reduce.stop))
+    patch.setattr(_reduce, "end_stopped", failing(_reduce.end_stopped))
 
 
 def at_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
