--- a/src/azureswitch/serving/_effects.py
+++ b/src/azureswitch/serving/_effects.py
@@ -63,8 +63,8 @@
     reserved: tuple[int, ...] = ()
     first_token: float = 0.0
     accounts: int = 0
-    first_patience: float = inf
-    gap_patience: float = inf
+    first_output_timeout: float = inf
+    output_gap_timeout: float = inf
     held_back: int = 0
 
 
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -26,7 +26,7 @@
     Observe,
     SettleClaim,
 )
-from azureswitch.serving._ending import beside, decide, finish, observe
+from azureswitch.serving._ending import finish, observe, run_isolated, run_step
 from azureswitch.serving._events import (
     AttemptEnded,
     AttemptSilent,
@@ -56,7 +56,6 @@
     TokensArrived,
     TotalsReceived,
 )
-from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._limited import (
     answer_permit,
@@ -70,8 +69,14 @@
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
 from azureswitch.serving._telling import tell, tell_totals
+from azureswitch.serving._termination import (
+    end_expired,
+    end_quarantined,
+    end_stopped,
+    end_unfinishable,
+)
 
-TICK = 0.05
+TICK_SECONDS = 0.05
 """Seconds between two `Ticked` events."""
 
 
@@ -87,10 +92,12 @@
     """
     effects = _apply(event, state)
     if state.crashes.touched:
-        effects += beside(partial(_begin_quarantines, state, now=event.now), name="A quarantine")
+        effects += run_isolated(
+            partial(_begin_quarantines, state, now=event.now), name="A quarantine"
+        )
     effects += asks(state, now=event.now)
     if state.ledger.changed or state.crashes.changed or state.limits.news:
-        effects = [*effects, *beside(partial(tell, state, now=event.now), name="A digest")]
+        effects = [*effects, *run_isolated(partial(tell, state, now=event.now), name="A digest")]
     return tuple(effects) or NO_EFFECTS
 
 
@@ -104,7 +111,7 @@
         waiting = record.phase in (Phase.WAITING, Phase.BACKING_OFF)
         if waiting and state.crashes.seconds_left(record.call, now=now):
             step = partial(end_quarantined, state, record, now=now)
-            effects += decide(state, record, step, now=now)
+            effects += run_step(state, record, step, now=now)
     return effects
 
 
@@ -179,7 +186,7 @@
         return []
     record.claimed = True
     record.phase = Phase.WAITING
-    return decide(state, record, partial(dispatch, state, record, now=event.now), now=event.now)
+    return run_step(state, record, partial(dispatch, state, record, now=event.now), now=event.now)
 
 
 @_apply.register
@@ -228,7 +235,7 @@
     if record is None:
         return []
     step = partial(first_token, state, record, event.attempt, now=event.now)
-    return decide(state, record, step, now=event.now)
+    return run_step(state, record, step, now=event.now)
 
 
 @_apply.register
@@ -245,7 +252,7 @@
     if record is None:
         return []
     step = partial(silent, state, record, event.attempt, now=event.now)
-    return decide(state, record, step, now=event.now)
+    return run_step(state, record, step, now=event.now)
 
 
 @_apply.register
@@ -253,7 +260,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    return decide(state, record, partial(ended, state, record, event), now=event.now)
+    return run_step(state, record, partial(ended, state, record, event), now=event.now)
 
 
 # --- Targets --------------------------------------------------------------------------------------
@@ -392,8 +399,12 @@
     return [
         effect
         for record in list(state.calls.values())
-        for effect in decide(
-            state, record, partial(stop, state, record, now=event.now), now=event.now, final=True
+        for effect in run_step(
+            state,
+            record,
+            partial(end_stopped, state, record, now=event.now),
+            now=event.now,
+            final=True,
         )
     ]
 
@@ -410,13 +421,13 @@
         if record is not None:
             step = partial(_fire, state, record, timer, now=now)
             final = timer.kind is TimerKind.DEADLINE
-            effects += decide(state, record, step, now=now, final=final)
-    effects += beside(partial(drain_all, state, now=now), name="The queue")
-    effects += beside(partial(_expire, state, now=now), name="Forgetting")
+            effects += run_step(state, record, step, now=now, final=final)
+    effects += run_isolated(partial(drain_all, state, now=now), name="The queue")
+    effects += run_isolated(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
-        effects += beside(partial(tell, state, regular=True, now=now), name="A digest")
-        effects += beside(partial(tell_totals, state), name="The totals")
-        effects += beside(partial(_expire_slowly, state, now=now), name="Forgetting")
+        effects += run_isolated(partial(tell, state, regular=True, now=now), name="A digest")
+        effects += run_isolated(partial(tell_totals, state), name="The totals")
+        effects += run_isolated(partial(_expire_slowly, state, now=now), name="Forgetting")
     return effects
 
 
@@ -436,9 +447,9 @@
 
 def _fire(state: ServingState, record: CallRecord, timer: Timer, *, now: float) -> list[Effect]:
     if timer.kind is TimerKind.DEADLINE:
-        return out_of_time(state, record, now=now)
+        return end_expired(state, record, now=now)
     if timer.kind is TimerKind.LATEST_START and record.phase is Phase.WAITING:
-        return too_late(state, record, now=now)
+        return end_unfinishable(state, record, now=now)
     if timer.kind is TimerKind.RETRY and record.phase is Phase.BACKING_OFF:
         return dispatch(state, record, now=now)
     if timer.kind is TimerKind.HEDGE:
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_apart.py
@@ -66,12 +66,12 @@
 
 def at_stop(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let the step fail that ends a call as its host stops."""
-    patch.setattr(_reduce, "stop", failing(_reduce.stop))
+    patch.setattr(_reduce, "end_stopped", failing(_reduce.end_stopped))
 
 
 def at_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let the step fail that ends a call at its deadline."""
-    patch.setattr(_reduce, "out_of_time", failing(_reduce.out_of_time))
+    patch.setattr(_reduce, "end_expired", failing(_reduce.end_expired))
 
 
 def at_freeing(driver: Driver, patch: pytest.MonkeyPatch) -> None:
