--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -79,7 +79,7 @@
 METRICS_PORT = 9464
 """The port on which metrics and status are read, as the deploy file says."""
 
-HOSTS_MOST = 420
+MAX_FLEET_HOSTS = 420
 """Hosts that the burst of retries is shared among while none can be known of: the largest fleet.
 
 Shared among nine, hosts of a fleet of 70 that all started at once sent again more often than their
@@ -305,7 +305,7 @@
             self._log.write(changed)
         shell = self._gateway.shell
         size = self._membership.fleet_size
-        fleet_size = HOSTS_MOST if size is None else size
+        fleet_size = MAX_FLEET_HOSTS if size is None else size
         shell.dispatch(PeersChanged(now=shell.now, hosts=hosts, fleet_size=fleet_size))
 
     def _connect_store(self, settings: PlatformSettings) -> HttpStore:
@@ -350,6 +350,6 @@
         grace=settings.bounds.grace_seconds,
         retry_share=settings.bounds.retry_ratio * RETRY_MARGIN,
         retry_burst=settings.bounds.retry_slack * RETRY_MARGIN,
-        hosts=HOSTS_MOST,
+        hosts=MAX_FLEET_HOSTS,
         full_hosts=FULL_HOSTS,
     )
--- a/tests/serving/test_silence.py
+++ b/tests/serving/test_silence.py
@@ -7,7 +7,7 @@
 
 from azureswitch.core import CallId, HostName
 from azureswitch.exceptions import DeadlineExceededError
-from azureswitch.platform._edge import HOSTS_MOST
+from azureswitch.platform._edge import MAX_FLEET_HOSTS
 from azureswitch.serving import (
     AttemptSilent,
     Call,
@@ -197,7 +197,7 @@
 
 def _starting_budget() -> RetryBudget:
     """Return the budget of a host that starts and knows of no other."""
-    return RetryBudget(share=SHARE, burst=BURST / HOSTS_MOST, fleet_burst=BURST)
+    return RetryBudget(share=SHARE, burst=BURST / MAX_FLEET_HOSTS, fleet_burst=BURST)
 
 
 def _take_all(budget: RetryBudget) -> int:
