--- a/bench/adoption.py
+++ b/bench/adoption.py
@@ -20,7 +20,7 @@
     TargetReader,
 )
 from azureswitch.platform._adoption import Adoption
-from azureswitch.platform._foreign import ForeignBook
+from azureswitch.platform._foreign import ForeignTracker
 from azureswitch.platform._orders import HttpReservations
 from azureswitch.ports import StoredObject
 from bench.records import Record, at_most
@@ -132,7 +132,7 @@
         self._adoption = Adoption(
             gateway=self._gateway,
             reader=TargetReader(places=PLACES),
-            foreign=ForeignBook(
+            foreign=ForeignTracker(
                 metrics=Metrics(), kinds=(CONFIGURATION_KIND, TARGETS_KIND), clock=monotonic
             ),
             configured=lambda: None,
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -11,7 +11,7 @@
     TARGETS_KIND,
     deployment_steps,
 )
-from azureswitch.platform._foreign import Fault, Foreign, ForeignBook
+from azureswitch.platform._foreign import Fault, Foreign, ForeignTracker
 from azureswitch.platform._targets import TargetReader
 from azureswitch.ports import StoredObject
 from azureswitch.slices import Steps, run_slice
@@ -43,7 +43,7 @@
         *,
         gateway: Gateway,
         reader: TargetReader,
-        foreign: ForeignBook,
+        foreign: ForeignTracker,
         configured: Callable[[], None],
     ) -> None:
         self._gateway = gateway
--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -23,7 +23,7 @@
     TARGETS_KIND,
 )
 from azureswitch.platform._dialect import PlatformDialect
-from azureswitch.platform._foreign import ForeignBook
+from azureswitch.platform._foreign import ForeignTracker
 from azureswitch.platform._orders import HttpReservations
 from azureswitch.platform._quarantine import QUARANTINE_KIND, StoreQuarantine
 from azureswitch.platform._roster import ROSTER_KIND, Seat, StoreHostList
@@ -107,7 +107,7 @@
             help="Lines of the log that its reader was too slow for.",
             value=lambda: lines.dropped,
         )
-        self._foreign = ForeignBook(
+        self._foreign = ForeignTracker(
             metrics=self._metrics,
             kinds=(CONFIGURATION_KIND, TARGETS_KIND, ROSTER_KIND, QUARANTINE_KIND),
             clock=elapsed,
--- a/src/azureswitch/platform/_foreign.py
+++ b/src/azureswitch/platform/_foreign.py
@@ -71,7 +71,7 @@
     return Foreign(name=name, version=version, fault=fault, detail=str(error))
 
 
-class ForeignBook:
+class ForeignTracker:
     """Knows which entries are foreign now, tells of each version of one once, and counts them.
 
     What is remembered is bounded by the entries that there are.  Lines are bounded in number, and
--- a/src/azureswitch/platform/_quarantine.py
+++ b/src/azureswitch/platform/_quarantine.py
@@ -16,7 +16,7 @@
 from azureswitch.core import CustomerName, TargetName
 from azureswitch.decoding import UNDECODED
 from azureswitch.exceptions import StoreConflictError, StoreError, StoreNotFoundError
-from azureswitch.platform._foreign import Foreign, ForeignBook, undecoded
+from azureswitch.platform._foreign import Foreign, ForeignTracker, undecoded
 from azureswitch.platform._store import HttpStore
 from azureswitch.ports import StoredObject
 from azureswitch.serving import QUARANTINE_SECONDS, CrashReport, TargetStart
@@ -75,7 +75,7 @@
         *,
         store: HttpStore,
         recalled: Callable[[tuple[CrashReport, ...]], None],
-        foreign: ForeignBook,
+        foreign: ForeignTracker,
         clock: Callable[[], float] = time,
     ) -> None:
         self._store = store
--- a/src/azureswitch/platform/_roster.py
+++ b/src/azureswitch/platform/_roster.py
@@ -17,7 +17,7 @@
     StoreError,
     StoreNotFoundError,
 )
-from azureswitch.platform._foreign import Fault, Foreign, ForeignBook, undecoded
+from azureswitch.platform._foreign import Fault, Foreign, ForeignTracker, undecoded
 from azureswitch.platform._store import HttpStore
 from azureswitch.platform._targets import is_address
 from azureswitch.ports import HostStatus, ListedHost, StoredObject
@@ -49,7 +49,7 @@
     """
 
     def __init__(
-        self, *, store: HttpStore, host: HostName, seat: Seat, foreign: ForeignBook
+        self, *, store: HttpStore, host: HostName, seat: Seat, foreign: ForeignTracker
     ) -> None:
         self._store = store
         self._host = host
--- a/tests/platform/test_adoption.py
+++ b/tests/platform/test_adoption.py
@@ -15,7 +15,7 @@
 from azureswitch.platform import CONFIGURATION_KIND, CONFIGURATION_NAME, TARGETS_KIND, TargetReader
 from azureswitch.platform import _adoption as module
 from azureswitch.platform._adoption import Adoption
-from azureswitch.platform._foreign import ForeignBook
+from azureswitch.platform._foreign import ForeignTracker
 from azureswitch.ports import StoredObject
 from azureswitch.slices import GO_ON, Steps, finish, run_slice
 from tests.gateway.fixtures import PATIENCE, Bed, serve, usual_headers
@@ -77,7 +77,7 @@
         self.adoption = Adoption(
             gateway=gateway,
             reader=TargetReader(),
-            foreign=ForeignBook(
+            foreign=ForeignTracker(
                 metrics=self.metrics, kinds=(CONFIGURATION_KIND, TARGETS_KIND), clock=monotonic
             ),
             configured=self._count,
--- a/tests/platform/test_own_entries.py
+++ b/tests/platform/test_own_entries.py
@@ -2,7 +2,7 @@
 
 from azureswitch.core import HostName, PlaceName
 from azureswitch.metrics import Metrics
-from azureswitch.platform._foreign import ForeignBook
+from azureswitch.platform._foreign import ForeignTracker
 from azureswitch.platform._roster import ROSTER_KIND, Seat, StoreHostList
 from tests.platform.test_restored import run, serve_store
 
@@ -20,7 +20,9 @@
                     store=store,
                     host=HostName("h1"),
                     seat=Seat(place=PlaceName("z1"), address="127.0.0.1:7000"),
-                    foreign=ForeignBook(metrics=Metrics(), kinds=(ROSTER_KIND,), clock=lambda: 0.0),
+                    foreign=ForeignTracker(
+                        metrics=Metrics(), kinds=(ROSTER_KIND,), clock=lambda: 0.0
+                    ),
                 )
                 assert [host.name for host in await hosts.hosts()] == ["h1"]
                 standin.restore(empty)
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -17,7 +17,7 @@
     LINES_SECONDS,
     LISTED_MOST,
     NAME_MOST,
-    ForeignBook,
+    ForeignTracker,
 )
 from azureswitch.platform._roster import ROSTER_KIND, Seat, StoreHostList
 from azureswitch.ports import StoredObject
@@ -136,13 +136,13 @@
 
 
 class TestBook:
-    """`ForeignBook`."""
+    """`ForeignTracker`."""
 
     @staticmethod
-    def book(now: list[float]) -> tuple[ForeignBook, Metrics]:
+    def book(now: list[float]) -> tuple[ForeignTracker, Metrics]:
         """Return a book by a clock that a test sets."""
         metrics = Metrics()
-        return ForeignBook(metrics=metrics, kinds=("servers",), clock=lambda: now[0]), metrics
+        return ForeignTracker(metrics=metrics, kinds=("servers",), clock=lambda: now[0]), metrics
 
     @staticmethod
     def foreign(name: str, version: int = 1, detail: str = "d") -> Foreign:
@@ -188,7 +188,7 @@
 
 
 class TestReport:
-    """What `ForeignBook` tells of the entries that are foreign now."""
+    """What `ForeignTracker` tells of the entries that are foreign now."""
 
     @pytest.mark.parametrize(
         ("named", "unnamed", "total", "listed"),
@@ -261,7 +261,7 @@
                 store=HttpStore(address=standin.address, timeout=PATIENCE),
                 host=HostName("h1"),
                 seat=Seat(place=PlaceName("p"), address="10.0.0.2:7"),
-                foreign=ForeignBook(metrics=Metrics(), kinds=(ROSTER_KIND,), clock=lambda: 0.0),
+                foreign=ForeignTracker(metrics=Metrics(), kinds=(ROSTER_KIND,), clock=lambda: 0.0),
             )
             found = [(host.name, host.address) for host in await hosts.hosts()]
             assert found == [("h0", "10.0.0.1:7"), ("h1", "10.0.0.2:7")]
