--- a/bench/adoption.py
+++ b/bench/adoption.py
@@ -123,7 +123,7 @@
                 hosts=3,
             ),
             dialect=PlatformDialect(),
-            reservations=HttpReservations(heard=lambda address, ticket, head: None),
+            reservations=HttpReservations(on_answer=lambda address, ticket, head: None),
             publish=lambda effect: None,
             metrics=Metrics(),
             log=Log(),
--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -119,7 +119,7 @@
         self._gateway = Gateway(
             settings=_gateway_settings(settings),
             dialect=PlatformDialect(),
-            reservations=HttpReservations(heard=self._order_answered),
+            reservations=HttpReservations(on_answer=self._order_answered),
             publish=self._publish,
             metrics=self._metrics,
             log=log,
--- a/src/azureswitch/platform/_orders.py
+++ b/src/azureswitch/platform/_orders.py
@@ -47,12 +47,12 @@
     Its failures name an engine by its address.
 
     Args:
-        heard: Takes the address of an engine, the ticket and the head of each answer, in which the
+        on_answer: Takes the address of an engine, the ticket and the head of each answer, in which the
             engine also speaks of itself.
     """
 
-    def __init__(self, *, heard: Callable[[str, str, HttpHead], None]) -> None:
-        self._heard = heard
+    def __init__(self, *, on_answer: Callable[[str, str, HttpHead], None]) -> None:
+        self._on_answer = on_answer
 
     async def reserve(self, *, address: str, ticket: str, tokens: int, seconds: float) -> None:
         """Set memory aside."""
@@ -80,5 +80,5 @@
             raise TargetRefusedError(target=address) from error
         except HttpBrokenError as error:
             raise TargetBrokenError(target=address) from error
-        self._heard(address, ticket, answer.head)
+        self._on_answer(address, ticket, answer.head)
         return answer.head.status
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -49,7 +49,7 @@
             server = HttpServer(handler=Engine(status=status, headers=(("server-limit", "2"),)))
             await server.start(address="127.0.0.1:0")
             heard: list[tuple[str, str, HttpHead]] = []
-            orders = HttpReservations(heard=lambda *answer: heard.append(answer))
+            orders = HttpReservations(on_answer=lambda *answer: heard.append(answer))
             try:
                 await orders.reserve(address=server.address, ticket="t", tokens=9, seconds=1.0)
             except TargetRefusedError:
