--- a/bench/adoption.py
+++ b/bench/adoption.py
@@ -135,7 +135,7 @@
             foreign=ForeignTracker(
                 metrics=Metrics(), kinds=(CONFIGURATION_KIND, TARGETS_KIND), clock=monotonic
             ),
-            configured=lambda: None,
+            on_configured=lambda: None,
         )
         self._routes = routes
         self._version = 0
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -35,7 +35,7 @@
         gateway: The gateway.
         reader: Reads targets.
         foreign: Notes what cannot be read.
-        configured: Called when there are a configuration and a target.
+        on_configured: Called when there are a configuration and a target.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
         gateway: Gateway,
         reader: TargetReader,
         foreign: ForeignTracker,
-        configured: Callable[[], None],
+        on_configured: Callable[[], None],
     ) -> None:
         self._gateway = gateway
         self._reader = reader
         self._foreign = foreign
-        self._configured = configured
+        self._on_configured = on_configured
         self._listed: tuple[StoredObject, ...] = ()
         self._newest: StoredObject | None = None
         self._working = False
@@ -113,7 +113,7 @@
 
     def _tell_configured(self) -> None:
         if self._gateway.configured:
-            self._configured()
+            self._on_configured()
 
 
 async def _go_on(work: Steps[None]) -> None:
--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -134,7 +134,7 @@
             gateway=self._gateway,
             reader=TargetReader(places=settings.places),
             foreign=self._foreign,
-            configured=self._configured.set,
+            on_configured=self._configured.set,
         )
         self._quarantine = StoreQuarantine(
             store=self._store, recalled=self._recall, foreign=self._foreign
--- a/tests/platform/test_adoption.py
+++ b/tests/platform/test_adoption.py
@@ -80,7 +80,7 @@
             foreign=ForeignTracker(
                 metrics=self.metrics, kinds=(CONFIGURATION_KIND, TARGETS_KIND), clock=monotonic
             ),
-            configured=self._count,
+            on_configured=self._count,
         )
 
     def _count(self) -> None:
