--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -23,7 +23,7 @@
     TARGETS_KIND,
 )
 from azureswitch.platform._dialect import PlatformDialect
-from azureswitch.platform._foreign import ForeignBook
+from azureswitch.platform._foreign import ForeignTracker
 from azureswitch.platform._orders import HttpReservations
 from azureswitch.platform._quarantine import QUARANTINE_KIND, StoreQuarantine
 from azureswitch.platform._roster import ROSTER_KIND, Seat, StoreHostList
@@ -79,7 +79,7 @@
 METRICS_PORT = 9464
 """The port on which metrics and status are read, as the deploy file says."""
 
-HOSTS_MOST = 420
+MAX_FLEET_HOSTS = 420
 """Hosts that the burst of retries is shared among while none can be known of: the largest fleet.
 
 Shared among nine, hosts of a fleet of 70 that all started at once sent again more often than their
@@ -107,7 +107,7 @@
             help="Lines of the log that its reader was too slow for.",
             value=lambda: lines.dropped,
         )
-        self._foreign = ForeignBook(
+        self._foreign = ForeignTracker(
             metrics=self._metrics,
             kinds=(CONFIGURATION_KIND, TARGETS_KIND, ROSTER_KIND, QUARANTINE_KIND),
             clock=elapsed,
@@ -119,7 +119,7 @@
         self._gateway = Gateway(
             settings=_gateway_settings(settings),
             dialect=PlatformDialect(),
-            reservations=HttpReservations(heard=self._order_answered),
+            reservations=HttpReservations(on_answer=self._order_answered),
             publish=self._publish,
             metrics=self._metrics,
             log=log,
@@ -134,7 +134,7 @@
             gateway=self._gateway,
             reader=TargetReader(places=settings.places),
             foreign=self._foreign,
-            configured=self._configured.set,
+            on_configured=self._configured.set,
         )
         self._quarantine = StoreQuarantine(
             store=self._store, recalled=self._recall, foreign=self._foreign
@@ -305,7 +305,7 @@
             self._log.write(changed)
         shell = self._gateway.shell
         size = self._membership.fleet_size
-        fleet_size = HOSTS_MOST if size is None else size
+        fleet_size = MAX_FLEET_HOSTS if size is None else size
         shell.dispatch(PeersChanged(now=shell.now, hosts=hosts, fleet_size=fleet_size))
 
     def _connect_store(self, settings: PlatformSettings) -> HttpStore:
@@ -350,6 +350,6 @@
         grace=settings.bounds.grace_seconds,
         retry_share=settings.bounds.retry_ratio * RETRY_MARGIN,
         retry_burst=settings.bounds.retry_slack * RETRY_MARGIN,
-        hosts=HOSTS_MOST,
+        hosts=MAX_FLEET_HOSTS,
         full_hosts=FULL_HOSTS,
     )
