--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -1,8 +1,8 @@
 """Chooses engines whose pace is published, by what a choice costs all who use them.
 
 A short prompt goes to one engine, a long one is read by several.  What a choice costs is said in
-`_harm`.  In a large fleet the engines of this host's failure domain are weighed first, whose work
-it knows exactly, and those of all only where the call would fare badly there.
+`_penalties`.  In a large fleet the engines of this host's failure domain are weighed first, whose
+work it knows exactly, and those of all only where the call would fare badly there.
 """
 
 from collections.abc import Callable
@@ -15,10 +15,10 @@
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
 from azureswitch.serving._events import Call
-from azureswitch.serving._harm import harm, haste, lateness
 from azureswitch.serving._length import Level
 from azureswitch.serving._offers import Engine, Offer, needed_tokens, wait_seconds
 from azureswitch.serving._pace import read_seconds
+from azureswitch.serving._penalties import harm, haste, lateness
 from azureswitch.serving._spreading import offer_long
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState, Work
--- a/src/azureswitch/serving/_state.py
+++ b/src/azureswitch/serving/_state.py
@@ -18,10 +18,10 @@
 from azureswitch.serving._events import Call, HostSelf
 from azureswitch.serving._fairness import Fairness
 from azureswitch.serving._fleet import Fleet, Pool
-from azureswitch.serving._harm import PauseBounds
 from azureswitch.serving._ledger import Ledger
 from azureswitch.serving._length import Level, Split
 from azureswitch.serving._limits import Limits
+from azureswitch.serving._penalties import PauseBounds
 from azureswitch.serving._permits import Permits
 from azureswitch.serving._queue import WaitingQueue
 from azureswitch.serving._retries import RetryBudget
--- a/tests/serving/test_harm.py
+++ b/tests/serving/test_harm.py
@@ -7,7 +7,7 @@
 from azureswitch.core import CallId, CustomerName, ServiceName, TargetName
 from azureswitch.inventory import EnginePace
 from azureswitch.serving import Call, Occupancy
-from azureswitch.serving._harm import PAUSE_MEMORY, PauseBounds, Pauses, harm
+from azureswitch.serving._penalties import PAUSE_MEMORY, PauseBounds, Pauses, harm
 
 SERVICE = ServiceName("pool")
 TARGET = TargetName("e1")
