--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -12,11 +12,11 @@
 from azureswitch.core import TargetName
 from azureswitch.inventory import EnginePace
 from azureswitch.serving._allowed import is_limited, is_unheard, permitted
+from azureswitch.serving._candidates import Engine, Offer, needed_tokens, wait_seconds
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
 from azureswitch.serving._events import Call
 from azureswitch.serving._length import Level
-from azureswitch.serving._offers import Engine, Offer, needed_tokens, wait_seconds
 from azureswitch.serving._pace import read_seconds
 from azureswitch.serving._penalties import harm, haste, lateness
 from azureswitch.serving._spreading import offer_long
--- a/src/azureswitch/serving/_spreading.py
+++ b/src/azureswitch/serving/_spreading.py
@@ -6,11 +6,11 @@
 from msgspec import Struct
 
 from azureswitch.inventory import EnginePace
+from azureswitch.serving._candidates import Engine, Offer, needed_tokens, wait_seconds
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
 from azureswitch.serving._events import Call
 from azureswitch.serving._length import Level
-from azureswitch.serving._offers import Engine, Offer, needed_tokens, wait_seconds
 from azureswitch.serving._pace import pass_seconds, read_seconds
 from azureswitch.serving._penalties import Pauses, harm, haste, lateness, weight
 from azureswitch.serving._state import CallRecord, ServingState
