--- a/src/azureswitch/serving/_penalties.py
+++ b/src/azureswitch/serving/_penalties.py
@@ -61,7 +61,7 @@
     long: float = inf
 
 
-class PauseBounds:
+class PauseTracker:
     """The tightest pauses that calls of each service have asked for lately.
 
     Routes declare them.  Nothing else tells how much reading the streams of a peer bear.
--- a/src/azureswitch/serving/_state.py
+++ b/src/azureswitch/serving/_state.py
@@ -21,7 +21,7 @@
 from azureswitch.serving._ledger import Ledger
 from azureswitch.serving._length import Level, Split
 from azureswitch.serving._limits import Limits
-from azureswitch.serving._penalties import PauseBounds
+from azureswitch.serving._penalties import PauseTracker
 from azureswitch.serving._permits import Permits
 from azureswitch.serving._queue import WaitingQueue
 from azureswitch.serving._retries import RetryBudget
@@ -209,7 +209,7 @@
         self._departures = Departures()
         self._ledger = Ledger(starts=self._starts)
         self._domains = Domains(own=myself.place, full_hosts=full_hosts)
-        self._pauses = PauseBounds()
+        self._pauses = PauseTracker()
         self._crashes = Crashes(host=myself.name)
         self._limits = Limits(starts=self._starts)
         self._permits = Permits(
@@ -310,7 +310,7 @@
         return self._retries
 
     @property
-    def pauses(self) -> PauseBounds:
+    def pauses(self) -> PauseTracker:
         """For how long the streams of each service may pause."""
         return self._pauses
 
--- a/tests/serving/test_harm.py
+++ b/tests/serving/test_harm.py
@@ -7,7 +7,7 @@
 from azureswitch.core import CallId, CustomerName, ServiceName, TargetName
 from azureswitch.inventory import EnginePace
 from azureswitch.serving import Call, Occupancy
-from azureswitch.serving._penalties import PAUSE_MEMORY, PauseBounds, Pauses, harm
+from azureswitch.serving._penalties import PAUSE_MEMORY, Pauses, PauseTracker, harm
 
 SERVICE = ServiceName("pool")
 TARGET = TargetName("e1")
@@ -72,7 +72,7 @@
         self, seen: list[tuple[float, float, bool]], now: float, expected: Pauses
     ) -> None:
         """The tightest that calls have asked for lately counts."""
-        bounds = PauseBounds()
+        bounds = PauseTracker()
         for at, gap, short in seen:
             bounds.observe(call(gap), short=short, now=at)
         assert bounds.bounds(SERVICE, now=now) == expected
