--- a/src/azureswitch/serving/_penalties.py
+++ b/src/azureswitch/serving/_penalties.py
@@ -49,7 +49,7 @@
 """Seconds for which a pause that some call bears is remembered: routes change now and then."""
 
 
-class Pauses(Struct, frozen=True, kw_only=True):
+class PauseLimits(Struct, frozen=True, kw_only=True):
     """For how long streams may pause and still be on time, in seconds; infinity where not known.
 
     Attributes:
@@ -75,9 +75,9 @@
         if call.gap_objective:
             self._seen.setdefault((call.service, short), {})[call.gap_objective] = now
 
-    def bounds(self, service: ServiceName, *, now: float) -> Pauses:
+    def bounds(self, service: ServiceName, *, now: float) -> PauseLimits:
         """Return the tightest pauses of a service's calls."""
-        return Pauses(
+        return PauseLimits(
             short=self._tightest(service, short=True, now=now),
             long=self._tightest(service, short=False, now=now),
         )
@@ -109,7 +109,7 @@
     return tokens / SHORT_TOKENS
 
 
-def harm(there: Occupancy, pace: EnginePace, *, reading: float, pauses: Pauses) -> float:
+def harm(there: Occupancy, pace: EnginePace, *, reading: float, pauses: PauseLimits) -> float:
     """Return what it costs the streams at an engine that it reads for so much longer.
 
     Args:
--- a/src/azureswitch/serving/_spreading.py
+++ b/src/azureswitch/serving/_spreading.py
@@ -12,7 +12,7 @@
 from azureswitch.serving._events import Call
 from azureswitch.serving._length import Level
 from azureswitch.serving._pace import pass_seconds, read_seconds
-from azureswitch.serving._penalties import Pauses, harm, haste, lateness, weight
+from azureswitch.serving._penalties import PauseLimits, harm, haste, lateness, weight
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import Work
 
@@ -117,7 +117,7 @@
     return order if _holder_count(call, least) is None else least
 
 
-def _blocks(part: float, pace: EnginePace, pauses: Pauses) -> bool:
+def _blocks(part: float, pace: EnginePace, pauses: PauseLimits) -> bool:
     """Return whether short streams do not bear a part; while none were seen, they bear none."""
     return pauses.short == inf or pass_seconds(pace) + part > pauses.short
 
@@ -146,7 +146,7 @@
     call: Call,
     order: list[Engine],
     pace: EnginePace,
-    pauses: Pauses,
+    pauses: PauseLimits,
     *,
     count: int,
     holders: int,
