--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -66,7 +66,7 @@
     floor = min((state.fairness.served(n) for n in state.queue.customers(lane)), default=0.0)
     if all_limited(state, record.pool, now=now):
         floor -= PERMIT_CREDIT * record.cost.total
-    state.fairness.lift(record.call.customer, floor)
+    state.fairness.raise_counter(record.call.customer, floor)
     record.phase = Phase.WAITING
     if record.call.unshared:
         at = now + hold_seconds(record.call)
--- a/src/azureswitch/serving/_fairness.py
+++ b/src/azureswitch/serving/_fairness.py
@@ -265,7 +265,7 @@
         account = self._accounts.get(customer)
         return account.served if account else 0.0
 
-    def lift(self, customer: CustomerName, floor: float) -> None:
+    def raise_counter(self, customer: CustomerName, floor: float) -> None:
         """Raise the counter of a customer that was idle, so that it saves up no credit."""
         account = self._accounts.get(customer)
         if account is not None:
