--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -150,7 +150,7 @@
         state.ledger.add(call=call.id, attempt=attempt.number, occupancies=choice.occupancies)
     else:
         state.fleet.add(choice.targets, work=choice.work, now=now)
-    state.fairness.serve(call.customer, choice.work.seconds * len(choice.targets))
+    state.fairness.record_served(call.customer, choice.work.seconds * len(choice.targets))
     held_back = count_held_back(state, record.pool, now=now)
     for target in choice.targets:
         state.affinity.sent(target, call.prefix)
--- a/src/azureswitch/serving/_fairness.py
+++ b/src/azureswitch/serving/_fairness.py
@@ -235,7 +235,7 @@
         account.used = max(0.0, account.used + seconds)
         self._untold[customer] = TELL_TIMES
 
-    def serve(self, customer: CustomerName, seconds: float) -> None:
+    def record_served(self, customer: CustomerName, seconds: float) -> None:
         """Count engine seconds that were sent to a target, in the virtual counter."""
         account = self._accounts.get(customer)
         if account is not None:
