--- a/src/azureswitch/serving/_fairness.py
+++ b/src/azureswitch/serving/_fairness.py
@@ -146,7 +146,7 @@
         for name in self._peers.keys() - names:
             del self._peers[name]
 
-    def hear(self, digest: Digest, *, now: float) -> bool:
+    def apply_digest(self, digest: Digest, *, now: float) -> bool:
         """Count what a peer's customers used since its last digest.
 
         Returns:
--- a/src/azureswitch/serving/_length.py
+++ b/src/azureswitch/serving/_length.py
@@ -175,7 +175,7 @@
         mix = self._mixes.setdefault((call.service, call.model), _Mix())
         mix.rates[0 if short else 1].add(seconds, now=now)
 
-    def hear(self, digest: Digest, *, now: float) -> None:
+    def apply_digest(self, digest: Digest, *, now: float) -> None:
         """Take over a peer's demand."""
         for demand in digest.demands:
             mix = self._mixes.setdefault((demand.service, demand.model), _Mix())
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -311,9 +311,11 @@
 
 @_apply.register
 def _(event: DigestReceived, state: ServingState) -> list[Effect]:
-    if event.digest.host != state.myself.name and state.fairness.hear(event.digest, now=event.now):
+    if event.digest.host != state.myself.name and state.fairness.apply_digest(
+        event.digest, now=event.now
+    ):
         state.fleet.hear(_of_known_starts(state, event.digest), now=event.now)
-        state.split.hear(event.digest, now=event.now)
+        state.split.apply_digest(event.digest, now=event.now)
         state.ledger.hear(
             host=event.digest.host,
             occupancies=event.digest.occupancies,
--- a/tests/serving/test_policy.py
+++ b/tests/serving/test_policy.py
@@ -122,13 +122,13 @@
         fairness = Fairness(myself=HostSelf(name=HostName("h1"), place="a1", started=1))  # type: ignore[arg-type]
         fairness.adopt(snapshot(limit=1.0).inventory.customers)
         fairness.set_hosts((HostName("h1"), HostName("h2")))
-        fairness.hear(digest(1), now=0.0)
+        fairness.apply_digest(digest(1), now=0.0)
         return fairness
 
     def use(self, fairness: Fairness, sequence: int, seconds: float, *, now: float) -> None:
         """Let the peer tell what it has admitted for the first customer so far."""
         uses = (CustomerUse(customer=ANN, seconds=seconds),)
-        fairness.hear(digest(sequence, uses=uses), now=now)
+        fairness.apply_digest(digest(sequence, uses=uses), now=now)
 
     def test_peers_count(self) -> None:
         """What a peer admitted counts here once, also when its digests come twice or crossed."""
@@ -142,9 +142,9 @@
     def test_clock_set_back(self, after: float, heard: bool) -> None:
         """A peer that restarts by a clock set back is heard, and its late messages are not."""
         fairness = self.fairness()
-        fairness.hear(replace(digest(7), started=9), now=10.0)
-        assert fairness.hear(replace(digest(1), started=8), now=10.0 + after) is heard
-        assert fairness.hear(replace(digest(2), started=8), now=10.2 + after) is heard
+        fairness.apply_digest(replace(digest(7), started=9), now=10.0)
+        assert fairness.apply_digest(replace(digest(1), started=8), now=10.0 + after) is heard
+        assert fairness.apply_digest(replace(digest(2), started=8), now=10.2 + after) is heard
 
     def test_cut_off(self) -> None:
         """A host that hears no peer grants its own part of the limit only."""
@@ -154,7 +154,7 @@
             total = 0.0
             for second in range(1, 101):
                 if heard:
-                    fairness.hear(digest(second + 1), now=float(second))
+                    fairness.apply_digest(digest(second + 1), now=float(second))
                 while not fairness.wait(ANN, long=False, now=float(second)):
                     fairness.charge(ANN, 0.1, now=float(second))
                     total += 0.1
@@ -336,7 +336,7 @@
                 demand = Demand(service="llm", model="m", short=short, long=long)  # type: ignore[arg-type]
                 before = Demand(service="llm", model="m", short=1.0, long=first)  # type: ignore[arg-type]
                 told = before if step < 10 else demand
-                split.hear(digest(step, demands=(told,)), now=step * 4.0)
+                split.apply_digest(digest(step, demands=(told,)), now=step * 4.0)
                 count = split.count(service="llm", model="m", engines=20, hosts=2, now=step * 4.0)  # type: ignore[arg-type]
             counts.add(count)
         assert max(counts) - min(counts) <= 1
