--- a/src/azureswitch/serving/_length.py
+++ b/src/azureswitch/serving/_length.py
@@ -170,7 +170,7 @@
         """Take over the objective."""
         self._weighing = WEIGHINGS[rules.objective]
 
-    def admitted(self, call: Call, *, seconds: float, short: bool, now: float) -> None:
+    def record_admitted(self, call: Call, *, seconds: float, short: bool, now: float) -> None:
         """Count the prefill of an admitted call."""
         mix = self._mixes.setdefault((call.service, call.model), _Mix())
         mix.rates[0 if short else 1].add(seconds, now=now)
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -147,7 +147,7 @@
     if call.model:
         state.fairness.charge(call.customer, cost.total, now=now)
         short = level is Level.SHORT and not state.fairness.exceeds(call.customer, now=now)
-        state.split.admitted(call, seconds=cost.prefill, short=short, now=now)
+        state.split.record_admitted(call, seconds=cost.prefill, short=short, now=now)
     state.timers.set(at=state.ends_at(call), kind=TimerKind.DEADLINE, call=call.id)
     state.timers.set(
         at=call.deadline - cost.prefill - cost.answer / 2.0,
