--- a/src/azureswitch/serving/_affinity.py
+++ b/src/azureswitch/serving/_affinity.py
@@ -41,7 +41,7 @@
         for block in events.added:
             self._add(events.target, block)
 
-    def sent(self, target: TargetName, prefix: tuple[int, ...]) -> None:
+    def record_sent(self, target: TargetName, prefix: tuple[int, ...]) -> None:
         """Expect that an engine will have a prefix, since a request with it was sent there."""
         for block in prefix:
             self._add(target, block)
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -153,7 +153,7 @@
     state.fairness.record_served(call.customer, choice.work.seconds * len(choice.targets))
     held_back = count_held_back(state, record.pool, now=now)
     for target in choice.targets:
-        state.affinity.sent(target, call.prefix)
+        state.affinity.record_sent(target, call.prefix)
         state.permits.take(target, now=now)
     if call.model and record.pool.pace is None:
         _set_ageing(state, record, attempt, now=now)
