--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -87,7 +87,7 @@
     A lane without room is not looked at again for a while, so that many events cost little.
     """
     effects: list[Effect] = []
-    while state.queue.open(lane, now=now):
+    while state.queue.has_ready(lane, now=now):
         started = _start_next(state, lane, now=now)
         if not started:
             state.queue.block(lane, until=now + BLOCK_SECONDS[lane.level])
--- a/src/azureswitch/serving/_queue.py
+++ b/src/azureswitch/serving/_queue.py
@@ -49,7 +49,7 @@
         """The lanes in which calls wait, those with the shortest prompts first."""
         return tuple(sorted(self._lanes, key=lambda lane: lane.level))
 
-    def open(self, lane: Lane, *, now: float) -> bool:
+    def has_ready(self, lane: Lane, *, now: float) -> bool:
         """Return whether calls wait in a lane that is not blocked."""
         return lane in self._lanes and now >= self._blocked.get(lane, 0.0)
 
