--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -16,7 +16,7 @@
     UnknownServiceError,
 )
 from azureswitch.serving._allowed import lane_for, limit_refusal
-from azureswitch.serving._cost import MARGIN, Cost
+from azureswitch.serving._cost import DURATION_MARGIN, Cost
 from azureswitch.serving._events import Call
 from azureswitch.serving._fleet import Pool
 from azureswitch.serving._length import Level, level_of
@@ -114,7 +114,7 @@
 
 def _stop_margin(state: ServingState, *, now: float) -> float:
     """Return how many times its prediction a call that a leaving host begins may take."""
-    return LATE_MARGIN if now > state.leaving_since + TURNED_SECONDS else MARGIN
+    return LATE_MARGIN if now > state.leaving_since + TURNED_SECONDS else DURATION_MARGIN
 
 
 def _elsewhere(state: ServingState) -> float:
--- a/src/azureswitch/serving/_cost.py
+++ b/src/azureswitch/serving/_cost.py
@@ -34,7 +34,7 @@
 STRETCH_MOST = 4.0
 """The greatest such sample that is believed."""
 
-MARGIN = 1.15
+DURATION_MARGIN = 1.15
 """Times what was lately seen that a call is given, so that few admitted ones run out of time."""
 
 CORRECTION_LIMITS = (0.02, 50.0)
@@ -66,7 +66,7 @@
     @property
     def likely(self) -> float:
         """Seconds from an attempt's start to its whole answer, beside other work."""
-        return (self.prefill * self.stretch + self.answer) * MARGIN
+        return (self.prefill * self.stretch + self.answer) * DURATION_MARGIN
 
     def most(self, *, margin: float) -> float:
         """Return the seconds that an attempt hardly ever exceeds.
--- a/tests/gateway/test_deadline.py
+++ b/tests/gateway/test_deadline.py
@@ -12,7 +12,7 @@
 SECONDS = 0.5
 """What the route permits."""
 
-MARGIN = 0.02
+DURATION_MARGIN = 0.02
 """Seconds before its deadline at which a request may be ended."""
 
 COUNT = 12
@@ -42,6 +42,6 @@
             ends = [entry for entry in log.entries if isinstance(entry, RequestFailed)]
             assert len(ends) == COUNT
             assert {entry.code for entry in ends} == {DeadlineExceededError.code}
-            assert min(entry.seconds for entry in ends) >= SECONDS - MARGIN - 0.001
+            assert min(entry.seconds for entry in ends) >= SECONDS - DURATION_MARGIN - 0.001
 
     asyncio.run(scenario())
