--- a/tests/serving/engines.py
+++ b/tests/serving/engines.py
@@ -107,7 +107,7 @@
     running: bool = False
 
 
-class World:
+class Simulation:
     """Hosts before engines that work in passes; what hosts tell each other arrives at once.
 
     Args:
--- a/tests/serving/test_domains.py
+++ b/tests/serving/test_domains.py
@@ -26,7 +26,7 @@
 )
 from azureswitch.serving._domains import Domains
 from azureswitch.serving._ledger import TOTALS_SECONDS
-from tests.serving.engines import SERVICE, Kind, World, place_of, snapshot
+from tests.serving.engines import SERVICE, Kind, Simulation, place_of, snapshot
 
 PACE = EnginePace(
     step=0.00131,
@@ -252,8 +252,8 @@
         assert divided.digests <= 0.5 * whole.digests
 
 
-def _play(*, full_hosts: int | None, place: PlaceName | None) -> World:
-    world = World(pace=PACE, engines=24, hosts=18, seed=3, places=3, full_hosts=full_hosts)
+def _play(*, full_hosts: int | None, place: PlaceName | None) -> Simulation:
+    world = Simulation(pace=PACE, engines=24, hosts=18, seed=3, places=3, full_hosts=full_hosts)
     for kind, rate in zip(KINDS, (12.0, 2.2, 0.6), strict=True):
         world.load(kind, rate=rate, start=0.0, seconds=8.0, place=place)
     world.run(14.0)
--- a/tests/serving/test_load.py
+++ b/tests/serving/test_load.py
@@ -5,7 +5,7 @@
 
 from azureswitch.coordination.sharing._gathering import GATHER_SECONDS
 from azureswitch.inventory import EnginePace
-from tests.serving.engines import Kind, World
+from tests.serving.engines import Kind, Simulation
 
 PACE = EnginePace(
     step=0.00102,
@@ -27,9 +27,9 @@
 )
 
 
-def play(*, chats: float, briefs: float, files: float, seed: int) -> World:
+def play(*, chats: float, briefs: float, files: float, seed: int) -> Simulation:
     """Play a burst of short prompts, and then a load."""
-    world = World(pace=PACE, engines=18, hosts=3, seed=seed)
+    world = Simulation(pace=PACE, engines=18, hosts=3, seed=seed)
     world.load(CHAT, rate=55.0, start=0.0, seconds=4.0)
     world.load(CHAT, rate=chats, start=4.0, seconds=12.0)
     world.load(BRIEF, rate=briefs, start=4.0, seconds=12.0)
@@ -71,7 +71,7 @@
 
 def _bursts(*, ends_after: float, seed: int) -> float:
     """Return the share of the credit that short prompts of many hosts earn on time."""
-    world = World(pace=PACE, engines=36, hosts=16, seed=seed, ends_after=ends_after)
+    world = Simulation(pace=PACE, engines=36, hosts=16, seed=seed, ends_after=ends_after)
     world.load(FILE, rate=2.4, start=0.0, seconds=7.0)
     world.load(BRIEF, rate=2.4, start=0.0, seconds=7.0)
     world.load(CHAT, rate=60.0, start=6.0, seconds=6.0)
@@ -125,14 +125,14 @@
                 pause=pause,
                 weight=1.0,
             )
-            world = World(pace=replace(NARROW, pair=0.0), engines=8, hosts=1, seed=1)
+            world = Simulation(pace=replace(NARROW, pair=0.0), engines=8, hosts=1, seed=1)
             world.load(kind, rate=100.0, start=0.0, seconds=0.02)
             world.run(0.1)
             assert all((len(request.parts) == 1) is short for request in world.requests)
 
 
-def _hand_over(seed: int) -> World:
-    world = World(pace=NARROW, engines=54, hosts=12, seed=seed)
+def _hand_over(seed: int) -> Simulation:
+    world = Simulation(pace=NARROW, engines=54, hosts=12, seed=seed)
     world.load(QUESTION, rate=12.0, start=0.0, seconds=9.5)
     world.load(SUMMARY, rate=4.7, start=0.0, seconds=9.5)
     world.load(REVIEW, rate=2.5, start=0.0, seconds=9.5)
