--- a/tests/serving/engines.py
+++ b/tests/serving/engines.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Kind:
+class Workload:
     """One kind of request, and what its callers want."""
 
     prompt: int
@@ -64,7 +64,7 @@
     """One request, and what its caller got."""
 
     call: CallId
-    kind: Kind
+    kind: Workload
     prompt: int
     arrived: float
     first: float | None = None
@@ -162,7 +162,7 @@
 
     def load(
         self,
-        kind: Kind,
+        kind: Workload,
         *,
         rate: float,
         start: float,
@@ -188,7 +188,7 @@
             self.now, _, act = heappop(self._events)
             act()
 
-    def credit(self, kinds: Iterable[Kind]) -> float:
+    def credit(self, kinds: Iterable[Workload]) -> float:
         """Return the share of their worth that requests of some kinds earned by being on time."""
         some = [request for request in self.requests if request.kind in kinds]
         worth = [(request.kind.weight * request.prompt, request.on_time) for request in some]
@@ -201,7 +201,7 @@
         for host in self._hosts:
             self._reduce(host, Ticked(now=self.now))
 
-    def _arrive(self, kind: Kind, prompt: int, place: PlaceName | None) -> None:
+    def _arrive(self, kind: Workload, prompt: int, place: PlaceName | None) -> None:
         request = Request(
             call=CallId(f"c{len(self.requests)}"),
             kind=kind,
--- a/tests/serving/test_domains.py
+++ b/tests/serving/test_domains.py
@@ -26,7 +26,7 @@
 )
 from azureswitch.serving._domains import Domains
 from azureswitch.serving._ledger import TOTALS_SECONDS
-from tests.serving.engines import SERVICE, Kind, Simulation, place_of, snapshot
+from tests.serving.engines import SERVICE, Simulation, Workload, place_of, snapshot
 
 PACE = EnginePace(
     step=0.00131,
@@ -37,13 +37,13 @@
     memory=405_000,
     answer=1_378,
 )
-SHORT = Kind(
+SHORT = Workload(
     prompt=4_000, spread=0.9, most=30_000, events=26, objective=0.4, pause=0.3, weight=2.6e-4
 )
-MIDDLE = Kind(
+MIDDLE = Workload(
     prompt=40_000, spread=0.5, most=110_000, events=16, objective=1.5, pause=0.8, weight=8e-5
 )
-LONG = Kind(
+LONG = Workload(
     prompt=230_000, spread=0.5, most=900_000, events=13, objective=4.0, pause=1.2, weight=1.1e-4
 )
 KINDS = (SHORT, MIDDLE, LONG)
--- a/tests/serving/test_load.py
+++ b/tests/serving/test_load.py
@@ -5,7 +5,7 @@
 
 from azureswitch.coordination.sharing._gathering import GATHER_SECONDS
 from azureswitch.inventory import EnginePace
-from tests.serving.engines import Kind, Simulation
+from tests.serving.engines import Simulation, Workload
 
 PACE = EnginePace(
     step=0.00102,
@@ -16,13 +16,13 @@
     memory=232_000,
     answer=1_360,
 )
-CHAT = Kind(
+CHAT = Workload(
     prompt=3_300, spread=0.9, most=23_800, events=32, objective=0.3, pause=0.25, weight=2.6e-4
 )
-BRIEF = Kind(
+BRIEF = Workload(
     prompt=40_000, spread=0.5, most=110_000, events=19, objective=1.5, pause=0.6, weight=8.7e-5
 )
-FILE = Kind(
+FILE = Workload(
     prompt=114_000, spread=0.55, most=600_000, events=16, objective=2.5, pause=1.0, weight=1.1e-4
 )
 
@@ -88,13 +88,13 @@
     memory=267_750,
     answer=1_700,
 )
-QUESTION = Kind(
+QUESTION = Workload(
     prompt=4_960, spread=0.9, most=23_800, events=32, objective=0.32, pause=0.25, weight=2.6e-4
 )
-SUMMARY = Kind(
+SUMMARY = Workload(
     prompt=45_000, spread=0.5, most=110_000, events=19, objective=1.5, pause=0.6, weight=7.8e-5
 )
-REVIEW = Kind(
+REVIEW = Workload(
     prompt=220_000, spread=0.55, most=700_000, events=16, objective=4.1, pause=1.0, weight=1.3e-4
 )
 
@@ -116,7 +116,7 @@
         """What is read within half of the tightest pause that callers bear counts as short."""
         for seconds, short in ((0.45 * pause, True), (0.55 * pause, False)):
             tokens = int(seconds * NARROW.read_rate)
-            kind = Kind(
+            kind = Workload(
                 prompt=tokens,
                 spread=0.0,
                 most=tokens,
