--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -73,7 +73,7 @@
     floor = min((state.fairness.served(n) for n in state.queue.customers(lane)), default=0.0)
     if all_limited(state, record.pool, now=now):
         floor -= PERMIT_CREDIT * record.cost.total
-    state.fairness.lift(record.call.customer, floor)
+    state.fairness.raise_counter(record.call.customer, floor)
     record.phase = Phase.WAITING
     if record.call.unshared:
         at = now + max_queue_seconds(record.call)
@@ -94,7 +94,7 @@
     A lane without room is not looked at again for a while, so that many events cost little.
     """
     effects: list[Effect] = []
-    while state.queue.open(lane, now=now):
+    while state.queue.has_ready(lane, now=now):
         started = _start_next(state, lane, now=now)
         if not started:
             state.queue.block(lane, until=now + BLOCK_SECONDS[lane.level])
@@ -157,10 +157,10 @@
         state.ledger.add(call=call.id, attempt=attempt.number, occupancies=choice.occupancies)
     else:
         state.fleet.add(choice.targets, work=choice.work, now=now)
-    state.fairness.serve(call.customer, choice.work.seconds * len(choice.targets))
+    state.fairness.record_served(call.customer, choice.work.seconds * len(choice.targets))
     held_back = count_held_back(state, record.pool, now=now)
     for target in choice.targets:
-        state.affinity.sent(target, call.prefix)
+        state.affinity.record_sent(target, call.prefix)
         state.permits.take(target, now=now)
     if call.model and record.pool.pace is None:
         _set_ageing(state, record, attempt, now=now)
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -154,7 +154,7 @@
     if call.model:
         state.fairness.charge(call.customer, cost.total, now=now)
         short = level is Level.SHORT and not state.fairness.exceeds(call.customer, now=now)
-        state.split.admitted(call, seconds=cost.prefill, short=short, now=now)
+        state.split.record_admitted(call, seconds=cost.prefill, short=short, now=now)
     state.timers.set(at=state.ends_at(call), kind=TimerKind.DEADLINE, call=call.id)
     state.timers.set(
         at=call.deadline - cost.prefill - cost.answer / 2.0,
@@ -318,9 +318,11 @@
 
 @_apply.register
 def _(event: DigestReceived, state: ServingState) -> list[Effect]:
-    if event.digest.host != state.myself.name and state.fairness.hear(event.digest, now=event.now):
+    if event.digest.host != state.myself.name and state.fairness.apply_digest(
+        event.digest, now=event.now
+    ):
         state.fleet.hear(_of_known_starts(state, event.digest), now=event.now)
-        state.split.hear(event.digest, now=event.now)
+        state.split.apply_digest(event.digest, now=event.now)
         state.ledger.hear(
             host=event.digest.host,
             occupancies=event.digest.occupancies,
