--- a/src/azureswitch/platform/_orders.py
+++ b/src/azureswitch/platform/_orders.py
@@ -47,8 +47,8 @@
     Its failures name an engine by its address.
 
     Args:
-        on_answer: Takes the address of an engine, the ticket and the head of each answer, in which the
-            engine also speaks of itself.
+        on_answer: Takes the address of an engine, the ticket and the head of each answer, in which
+            the engine also speaks of itself.
     """
 
     def __init__(self, *, on_answer: Callable[[str, str, HttpHead], None]) -> None:
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -10,7 +10,6 @@
     RetriesExhaustedError,
     TargetBrokenError,
 )
-from azureswitch.serving._allowed import all_limited, count_held_back, lane_for
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import TargetStart
 from azureswitch.serving._effects import (
@@ -28,7 +27,7 @@
     run_step,
 )
 from azureswitch.serving._events import AttemptEnd, AttemptEnded, TokensArrived
-from azureswitch.serving._fleet import EJECT_MOST, PACED_EJECT_MOST
+from azureswitch.serving._fleet import MAX_EJECTION_SECONDS, MAX_UNSHARED_EJECTION_SECONDS
 from azureswitch.serving._length import Level, ageing_period, priority
 from azureswitch.serving._queue import Lane
 from azureswitch.serving._retries import (
@@ -42,6 +41,7 @@
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState, TimerKind
 from azureswitch.serving._termination import end_quarantined, give_up
+from azureswitch.serving._throttling import all_limited, count_held_back, lane_for
 
 BLOCK_SECONDS = {Level.SHORT: 0.02, Level.MIDDLE: 0.1, Level.LONG: 0.25}
 """Seconds for which a lane is not looked at again once no target had room for it."""
@@ -63,7 +63,7 @@
 
 def dispatch(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Send a call to a target, or let it wait for one that has room."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     lane = lane_of(record)
     others = any(True for _ in state.queue.customers(lane))
@@ -208,7 +208,7 @@
     silent = record.attempts.get(number)
     if silent is None or len(record.attempts) > 1 or record.first_token is not None:
         return []
-    if not record.may_run_beside(1) or state.crashes.seconds_left(record.call, now=now):
+    if not record.may_run_beside(1) or state.crashes.quarantine_seconds(record.call, now=now):
         return []
     record.failed.update(silent.targets)
     choice = choose(state, record, now=now)
@@ -347,7 +347,7 @@
     _blame(state, record, attempt, event)
     if isinstance(event.error, TargetBrokenError):
         start = TargetStart(target=attempt.targets[0], started=attempt.start)
-        state.crashes.broke_off(record.call, start, now=now)
+        state.crashes.record_crash(record.call, start, now=now)
     if not record.call.repeatable and not refused:
         error = OutcomeLostError()
         return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
@@ -382,13 +382,13 @@
 def mark_failed(state: ServingState, record: CallRecord, target: TargetName, *, now: float) -> None:
     """Keep a target that failed out of use for a while, and this call away from it."""
     record.failed.add(target)
-    longest = PACED_EJECT_MOST if record.call.unshared else EJECT_MOST
+    longest = MAX_UNSHARED_EJECTION_SECONDS if record.call.unshared else MAX_EJECTION_SECONDS
     state.fleet.failed(target, now=now, longest=longest)
 
 
 def retry(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Try a call again after a pause, or give it up at once where no retry is permitted."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     record.retry_count += 1
     pause = _pause(state, record)
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -56,8 +56,15 @@
     TokensArrived,
     TotalsReceived,
 )
+from azureswitch.serving._failover import (
+    leave_unreachable,
+    replace_silent,
+    restart_attempts,
+    withdraw,
+)
+from azureswitch.serving._gossip import publish_digest, publish_totals
 from azureswitch.serving._length import Level, level_of
-from azureswitch.serving._limited import (
+from azureswitch.serving._limit_events import (
     answer_permit,
     asks,
     hear_limits,
@@ -65,10 +72,8 @@
     note_no_limit,
     take_permit,
 )
-from azureswitch.serving._removal import lose, resend, silent, withdraw
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
-from azureswitch.serving._telling import tell, tell_totals
 from azureswitch.serving._termination import (
     end_expired,
     end_quarantined,
@@ -97,19 +102,22 @@
         )
     effects += asks(state, now=event.now)
     if state.ledger.changed or state.crashes.changed or state.limits.news:
-        effects = [*effects, *run_isolated(partial(tell, state, now=event.now), name="A digest")]
+        effects = [
+            *effects,
+            *run_isolated(partial(publish_digest, state, now=event.now), name="A digest"),
+        ]
     return tuple(effects) or NO_EFFECTS
 
 
 def _begin_quarantines(state: ServingState, *, now: float) -> list[Effect]:
     """Tell of requests that are held back from now on, and end the calls that wait to be sent."""
-    changes = state.crashes.look(now=now)
+    changes = state.crashes.pop_changes(now=now)
     if not changes:
         return []
     effects: list[Effect] = [AnnounceQuarantine(change=change) for change in changes]
     for record in list(state.calls.values()):
         waiting = record.phase in (Phase.WAITING, Phase.BACKING_OFF)
-        if waiting and state.crashes.seconds_left(record.call, now=now):
+        if waiting and state.crashes.quarantine_seconds(record.call, now=now):
             step = partial(end_quarantined, state, record, now=now)
             effects += run_step(state, record, step, now=now)
     return effects
@@ -251,7 +259,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    step = partial(silent, state, record, event.attempt, now=event.now)
+    step = partial(replace_silent, state, record, event.attempt, now=event.now)
     return run_step(state, record, step, now=event.now)
 
 
@@ -284,7 +292,7 @@
 @_apply.register
 def _(event: TargetUnreachable, state: ServingState) -> list[Effect]:
     silent = state.fleet.unreachable(event.target, now=event.now)
-    return lose(state, event.target, now=event.now) if silent >= LOST_SECONDS else []
+    return leave_unreachable(state, event.target, now=event.now) if silent >= LOST_SECONDS else []
 
 
 @_apply.register
@@ -380,7 +388,7 @@
 @_apply.register
 def _(event: SnapshotAdopted, state: ServingState) -> list[Effect]:
     restarted = state.adopt(event.snapshot)
-    effects = resend(state, restarted, now=event.now) if restarted else []
+    effects = restart_attempts(state, restarted, now=event.now) if restarted else []
     return effects + drain_all(state, now=event.now)
 
 
@@ -427,8 +435,10 @@
     effects += run_isolated(partial(drain_all, state, now=now), name="The queue")
     effects += run_isolated(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
-        effects += run_isolated(partial(tell, state, regular=True, now=now), name="A digest")
-        effects += run_isolated(partial(tell_totals, state), name="The totals")
+        effects += run_isolated(
+            partial(publish_digest, state, regular=True, now=now), name="A digest"
+        )
+        effects += run_isolated(partial(publish_totals, state), name="The totals")
         effects += run_isolated(partial(_expire_slowly, state, now=now), name="Forgetting")
     return effects
 
