--- a/bench/adoption.py
+++ b/bench/adoption.py
@@ -20,7 +20,7 @@
     TargetReader,
 )
 from azureswitch.platform._adoption import Adoption
-from azureswitch.platform._foreign import ForeignBook
+from azureswitch.platform._foreign import ForeignTracker
 from azureswitch.platform._orders import HttpReservations
 from azureswitch.ports import StoredObject
 from bench.records import Record, at_most
@@ -123,7 +123,7 @@
                 hosts=3,
             ),
             dialect=PlatformDialect(),
-            reservations=HttpReservations(heard=lambda address, ticket, head: None),
+            reservations=HttpReservations(on_answer=lambda address, ticket, head: None),
             publish=lambda effect: None,
             metrics=Metrics(),
             log=Log(),
@@ -132,10 +132,10 @@
         self._adoption = Adoption(
             gateway=self._gateway,
             reader=TargetReader(places=PLACES),
-            foreign=ForeignBook(
+            foreign=ForeignTracker(
                 metrics=Metrics(), kinds=(CONFIGURATION_KIND, TARGETS_KIND), clock=monotonic
             ),
-            configured=lambda: None,
+            on_configured=lambda: None,
         )
         self._routes = routes
         self._version = 0
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -11,7 +11,7 @@
     TARGETS_KIND,
     deployment_steps,
 )
-from azureswitch.platform._foreign import Fault, Foreign, ForeignBook
+from azureswitch.platform._foreign import Fault, Foreign, ForeignTracker
 from azureswitch.platform._targets import TargetReader
 from azureswitch.ports import StoredObject
 from azureswitch.slices import Steps, run_slice
@@ -35,7 +35,7 @@
         gateway: The gateway.
         reader: Reads targets.
         foreign: Notes what cannot be read.
-        configured: Called when there are a configuration and a target.
+        on_configured: Called when there are a configuration and a target.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         *,
         gateway: Gateway,
         reader: TargetReader,
-        foreign: ForeignBook,
-        configured: Callable[[], None],
+        foreign: ForeignTracker,
+        on_configured: Callable[[], None],
     ) -> None:
         self._gateway = gateway
         self._reader = reader
         self._foreign = foreign
-        self._configured = configured
+        self._on_configured = on_configured
         self._listed: tuple[StoredObject, ...] = ()
         self._newest: StoredObject | None = None
         self._working = False
@@ -113,7 +113,7 @@
 
     def _tell_configured(self) -> None:
         if self._gateway.configured:
-            self._configured()
+            self._on_configured()
 
 
 async def _go_on(work: Steps[None]) -> None:
--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -21,7 +21,7 @@
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState
 
 
-def decide(
+def run_step(
     state: ServingState,
     record: CallRecord,
     step: Callable[[], list[Effect]],
@@ -75,7 +75,7 @@
     ]
 
 
-def beside(step: Callable[[], list[Effect]], *, name: str) -> list[Effect]:
+def run_isolated(step: Callable[[], list[Effect]], *, name: str) -> list[Effect]:
     """Do what is no single call's; where it fails, what was decided for calls stands."""
     try:
         return step()
--- a/src/azureswitch/serving/_limit_events.py
+++ b/src/azureswitch/serving/_limit_events.py
@@ -7,12 +7,12 @@
 from azureswitch.serving._attempts import drain_all
 from azureswitch.serving._digests import LimitReport
 from azureswitch.serving._effects import AnnounceLimit, AnswerPermit, AskPermit
-from azureswitch.serving._ending import decide
+from azureswitch.serving._ending import run_step
 from azureswitch.serving._events import LimitNamed, LimitUnnamed, PermitAnswered, PermitAsked
-from azureswitch.serving._giving_up import end_limited
 from azureswitch.serving._limits import safe_rate
-from azureswitch.serving._retries import hold_seconds
+from azureswitch.serving._retries import max_queue_seconds
 from azureswitch.serving._state import CallRecord, Phase, ServingState
+from azureswitch.serving._termination import end_limited
 from azureswitch.serving._throttling import all_limited, seconds_until_permitted
 
 
@@ -34,7 +34,9 @@
     return [] if change is None else [AnnounceLimit(change=change, text="")]
 
 
-def merge_limits(state: ServingState, reports: Iterable[LimitReport], *, now: float) -> list[Effect]:
+def merge_limits(
+    state: ServingState, reports: Iterable[LimitReport], *, now: float
+) -> list[Effect]:
     """Merge the limits that a peer reports."""
     return [AnnounceLimit(change=change) for change in state.limits.merge(reports, now=now)]
 
@@ -71,7 +73,7 @@
     for record in list(state.calls.values()):
         if record.phase is Phase.WAITING and _permit_too_late(state, record, now=now):
             step = partial(end_limited, state, record, now=now)
-            effects += decide(state, record, step, now=now)
+            effects += run_step(state, record, step, now=now)
     return effects
 
 
@@ -80,4 +82,4 @@
     if not all_limited(state, record.pool, now=now):
         return False
     wait = seconds_until_permitted(state, record.pool, now=now)
-    return now + wait > record.arrived + hold_seconds(record.call)
+    return now + wait > record.arrived + max_queue_seconds(record.call)
