--- a/tests/serving/limits.py
+++ b/tests/serving/limits.py
@@ -1,4 +1,4 @@
-"""Hosts before targets that name limits, in virtual time."""
+"""A simulation of hosts and targets with rate limits, in virtual time."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -48,12 +48,12 @@
 CUSTOMERS = (CustomerName("ann"), CustomerName("bob"))
 
 HEARD_BY = 6
-"""Hosts that hear a regular digest of a large fleet, drawn at random."""
+"""Hosts that receive a regular digest in a large fleet, chosen at random."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Host:
-    """One host; what it is sent while it is cut off or frozen is lost or waits."""
+    """One host; messages to and from it are lost while ``cut`` is set."""
 
     state: ServingState
     cut: bool = False
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Answer:
-    """What became of a request."""
+    """The outcome of a request."""
 
     customer: CustomerName
     arrived: float
@@ -71,12 +71,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Targets:
-    """What targets say and get.
+    """The limits of targets and the requests that they get.
 
     Attributes:
-        limits: The limits that they name now.
+        limits: The limits that they announce now.
         times: When requests arrived at each.
-        left_aside: How many were left aside for their limits, by each send.
+        left_aside: For each attempt, how many targets were not eligible due to their limits.
     """
 
     limits: dict[TargetName, float] = field(default_factory=dict)
@@ -85,13 +85,13 @@
 
 
 class World:
-    """Hosts that pass requests on to the engines of one service.
+    """Hosts that send requests to the engines of one service.
 
     Args:
-        hosts: How many there are.
-        targets: How many engines there are.
-        seed: Seeds the load and the hosts.
-        knowing: Whether hosts know of each other from the beginning.
+        hosts: The number of hosts.
+        targets: The number of engines.
+        seed: The seed of the load and of the hosts.
+        knowing: Whether hosts know each other from the start.
     """
 
     def __init__(self, *, hosts: int, targets: int, seed: int, knowing: bool = True) -> None:
@@ -112,7 +112,7 @@
             self.greet()
 
     def add(self, name: str, *, greet: bool = True, started: int = 1) -> None:
-        """Start a host, which knows of no limit."""
+        """Start a host that knows no limits."""
         myself = HostSelf(name=HostName(name), place=PlaceName("p1"), started=started)
         state = ServingState(
             myself=myself,
@@ -129,12 +129,12 @@
             self.greet()
 
     def remove(self, name: str) -> None:
-        """Let a host die; the others know of it a second later."""
+        """Stop a host; the others detect it a second later."""
         del self.hosts[HostName(name)]
         self._at(self.now + 1.0, self.greet)
 
     def greet(self) -> None:
-        """Let all hosts know who lives, but those that are cut off, which know themselves."""
+        """Update the live hosts of each host; one that is cut off knows only itself."""
         names = tuple(self.hosts)
         joined = tuple(name for name in names if not self.hosts[name].cut)
         for name in names:
@@ -143,13 +143,13 @@
             self._reduce(name, event)
 
     def relist(self) -> None:
-        """Let a list of targets come anew from the store."""
+        """Let all hosts adopt the list of targets again."""
         self._revision += 1
         for name in self.hosts:
             self._reduce(name, SnapshotAdopted(now=self.now, snapshot=self._listed()))
 
     def at(self, at: float, act: Callable[[], None]) -> None:
-        """Let something happen at a time."""
+        """Schedule an action."""
         self._at(at, act)
 
     def load(
@@ -161,26 +161,26 @@
         customer: str = "ann",
         prompt: int = 1_000,
     ) -> None:
-        """Let requests of a customer arrive at random at all hosts."""
+        """Schedule requests of a customer at random times and hosts."""
         at = start + self._random.expovariate(rate)
         while at < start + seconds:
             self._at(at, lambda: self._arrive(customer, prompt))
             at += self._random.expovariate(rate)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run the simulation until a time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, act = heappop(self._events)
             act()
 
     def exceeds(self, target: str, *, named: float) -> float:
-        """Return by how many requests a target got more than it may in any window."""
+        """Return by how many requests a target exceeded its limit in any window."""
         name = TargetName(target)
         times = self.targets.times.get(name, [])
         return most(times, begin=named + 3.0) - allowed(str(self.targets.limits[name]))
 
     def arrived(self, target: str, *, start: float, end: float) -> int:
-        """Return how many requests a target got in some time."""
+        """Return how many requests a target got in a period."""
         return sum(start <= at < end for at in self.targets.times.get(TargetName(target), []))
 
     def served(self, customer: str, *, start: float = 0.0) -> int:
--- a/tests/serving/test_crashes.py
+++ b/tests/serving/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash the engines that run them are sent to no more of them."""
+"""Guards against a request that crashes every engine that runs it being retried over the fleet."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -52,13 +52,13 @@
 """The fingerprint of a request that crashes each engine that runs it."""
 
 SOON_SECONDS = 10.0
-"""Seconds within which a request is served again that was only there as targets were lost."""
+"""Seconds after which a request that only ran on targets lost together is served again."""
 
 STABLE_SECONDS = 3.0
-"""Seconds after its third crash from which on few retries of a request are permitted."""
+"""Seconds after the third crash of a request, after which its retries are bounded."""
 
 MAX_RETRIES = 3
-"""Retries that are permitted after that, as users ask."""
+"""Upper bound of retries after that time, a requirement of the users."""
 
 TICK = 0.05
 RUN_SECONDS = 0.1
@@ -85,14 +85,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Hosts:
-    """Hosts before one pool of engines; what they tell each other arrives at once, as bytes would.
+    """Hosts that share one pool of engines; digests arrive at once, after encoding and decoding.
 
     Attributes:
-        count: How many there are.
-        places: Failure domains in which they stand by turns.
-        full_hosts: Hosts up to which all hear of all.
-        crashed: When each engine crashed first, and how many attempts had been sent by then.
-        lost: Engines that are lost whatever they run.
+        count: The number of hosts.
+        places: The number of failure domains, over which the hosts are distributed in turn.
+        full_hosts: Fleet size up to which all hosts receive all digests.
+        crashed: When each engine first crashed, and how many attempts had been sent by then.
+        lost: Engines that fail whatever they run.
     """
 
     count: int
@@ -115,7 +115,7 @@
             self._introduce(index)
 
     def restart(self, index: int) -> None:
-        """Start a host again, which remembers nothing."""
+        """Restart a host with empty state."""
         self.states[index] = self._new(index)
         self._introduce(index)
 
@@ -140,7 +140,7 @@
         return call.id
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self.now < end:
             self.now = round(self.now + TICK, 6)
@@ -151,7 +151,7 @@
                 self.reduce(index, Ticked(now=self.now))
 
     def reduce(self, index: int, event: ServingEvent) -> None:
-        """Hand an event to a host and carry out what it asks for."""
+        """Pass an event to a host and execute the effects."""
         for effect in reduce(self.states[index], event):
             self._carry_out(index, effect)
 
@@ -197,7 +197,7 @@
                     self.reduce(other, DigestReceived(now=self.now, digest=digest))
 
     def _end(self, index: int, effect: StartAttempt) -> None:
-        """End an attempt: what runs at an engine that crashes breaks off with it."""
+        """End an attempt, which is interrupted if its engine crashes."""
         _, call = self.open[effect.call]
         target = effect.targets[0]
         how, error = AttemptEnd.COMPLETE, None
@@ -212,7 +212,7 @@
         self.reduce(index, ended)
 
     def _crashes(self, target: TargetName) -> bool:
-        """Return whether an engine is lost or has just run a request that crashes it."""
+        """Return whether an engine is lost or has just run a request that crashes engines."""
         return target in self.lost or any(
             item.target == target and item.at >= self.now - RUN_SECONDS - TICK
             for item in self.sent
@@ -220,8 +220,10 @@
         )
 
 
-def come_again(hosts: Hosts, times: int, *, apart: float = 0.4, fingerprint: str = FATAL) -> None:
-    """Let one request come again at one host after the other."""
+def repeat_request(
+    hosts: Hosts, times: int, *, apart: float = 0.4, fingerprint: str = FATAL
+) -> None:
+    """Repeat one request at one host after the other."""
     for number in range(times):
         hosts.arrive(number % hosts.count, f"{fingerprint}-{number}", fingerprint=fingerprint)
         hosts.run(apart)
@@ -233,27 +235,27 @@
 
 
 class TestCrashingRequests:
-    """What becomes of a request under which engines crash, time and again."""
+    """A request that repeatedly crashes engines."""
 
     @pytest.mark.parametrize(
         ("hosts", "places", "full_hosts"),
         [
             pytest.param(1, 1, inf, id="one host"),
             pytest.param(6, 3, inf, id="six hosts"),
-            pytest.param(140, 5, 128, id="hosts that tell their failure domain alone"),
+            pytest.param(140, 5, 128, id="digests limited to failure domains"),
         ],
     )
     def test_few_retries(self, hosts: int, places: int, full_hosts: float) -> None:
-        """It reaches engines three times at most once all hosts may know of three crashes."""
+        """It is sent at most three times after all hosts can know of three crashes."""
         fleet = Hosts(count=hosts, places=places, full_hosts=full_hosts)
-        come_again(fleet, 24)
+        repeat_request(fleet, 24)
         at, _ = third_crash(fleet)
         late = [item for item in fleet.of(FATAL) if item.at > at + STABLE_SECONDS]
         assert len(late) <= MAX_RETRIES
 
     @pytest.mark.parametrize("hosts", [3, 9, 91])
     def test_many_callers(self, hosts: int) -> None:
-        """Nor does it where ten callers send it at once, time and again, and come back as told."""
+        """The same holds where ten callers send it at once and repeat it."""
         fleet = Hosts(count=hosts)
         for number in range(150):
             for caller in range(10):
@@ -265,9 +267,9 @@
         assert len(late) <= MAX_RETRIES
 
     def test_refused_at_once(self) -> None:
-        """It is refused as not run, with the time to come back, and doesn't wait."""
+        """It is refused at once as not run, with a retry time."""
         fleet = Hosts(count=2)
-        come_again(fleet, 6)
+        repeat_request(fleet, 6)
         last = fleet.calls[fleet.arrive(1, "last", fingerprint=FATAL)]
         assert last.ended == fleet.now
         assert last.error is not None
@@ -275,7 +277,7 @@
         assert last.error.retry_after is not None
 
     def test_calls_under_way(self) -> None:
-        """A try that has run once is not sent to another engine once three have crashed."""
+        """A call that has run once is not sent to another engine after three have crashed."""
         fleet = Hosts(count=8)
         for index in range(8):
             fleet.arrive(index, f"{FATAL}-{index}", fingerprint=FATAL)
@@ -290,18 +292,18 @@
         )
 
     def test_started_later(self) -> None:
-        """A host that starts again hears of it from the others, and also that starts last."""
+        """Each restarted host learns of the quarantine from the others, also the last one."""
         fleet = Hosts(count=3)
-        come_again(fleet, 60)  # Until it is held back for long.
+        repeat_request(fleet, 60)  # Until its quarantine is a long one.
         for index in range(3):
             fleet.restart(index)
             fleet.run(2.0)
         sent = len(fleet.of(FATAL))
-        come_again(fleet, 6)
+        repeat_request(fleet, 6)
         assert len(fleet.of(FATAL)) == sent
 
     def test_lost_messages(self) -> None:
-        """A host whose first word was lost tells it again."""
+        """A host repeats the report of a crash whose first digest was lost."""
         fleet = Hosts(count=3)
         fleet.silent = {0}
         for number in range(2):
@@ -316,12 +318,12 @@
 
 
 class TestOtherRequests:
-    """Requests that only ran beside it, or that fail in another way, are served as before."""
+    """Requests that ran on the same engines, or that fail in another way, are not quarantined."""
 
     @pytest.mark.parametrize("hosts", [1, 4, 9, 91])
     @pytest.mark.parametrize("losses", [1, 2])
     def test_lost_together(self, hosts: int, losses: int) -> None:
-        """What all callers send and ran at nine engines that were lost at once is served soon."""
+        """A request that ran at nine engines as they were lost together is soon served again."""
         fleet = Hosts(count=hosts)
         for loss in range(losses):
             self._lose_nine(fleet, f"lost-{loss}")
@@ -343,8 +345,8 @@
         fleet.run(RUN_SECONDS + TICK)
         fleet.lost = set()
 
-    def test_told_when(self) -> None:
-        """A refused caller is told to come back within some seconds, and is served then."""
+    def test_retry_time(self) -> None:
+        """A refused caller gets a retry time of some seconds, and is served then."""
         fleet = Hosts(count=4)
         self._lose_nine(fleet, "lost")
         error = fleet.calls[fleet.arrive(0, "refused", fingerprint="usual")].error
@@ -357,7 +359,7 @@
         assert served.error is None
 
     def test_victims(self) -> None:
-        """What broke off as often, beside a request that crashes engines, is sent again."""
+        """Requests that were interrupted as often by the crashes of another one are sent again."""
         fleet = Hosts(count=6)
         for number in range(8):
             fleet.arrive(number % 6, f"{FATAL}-{number}", fingerprint=FATAL)
@@ -384,17 +386,17 @@
         ],
     )
     def test_others(self, fingerprint: str, customer: str) -> None:
-        """A request that differs in anything is sent."""
+        """A request with another customer or fingerprint, or without one, is sent."""
         fleet = Hosts(count=2)
-        come_again(fleet, 6)
+        repeat_request(fleet, 6)
         before = len(fleet.sent)
         fleet.arrive(0, "other", fingerprint=fingerprint, customer=customer)
         assert len(fleet.sent) == before + 1
 
     def test_wrong_answers(self) -> None:
-        """Answers that cannot be read are no crash: the engine goes on."""
+        """Malformed answers do not count as crashes, as the engine keeps running."""
         fleet = Hosts(count=2)
-        come_again(fleet, 6, fingerprint="wrong")
+        repeat_request(fleet, 6, fingerprint="wrong")
         before = len(fleet.sent)
         fleet.arrive(0, "again", fingerprint="wrong")
         assert len(fleet.sent) == before + 1
@@ -406,7 +408,7 @@
 def report(
     fingerprint: str, crashes: Iterable[int], *, cleared: Iterable[int] = (), age: float = 0.0
 ) -> CrashReport:
-    """Return what a host says of a request that broke off at some targets."""
+    """Return a report of a request that was interrupted at some targets."""
     return CrashReport(
         customer=CUSTOMER,
         fingerprint=fingerprint,
@@ -417,7 +419,7 @@
 
 
 def call(fingerprint: str) -> Call:
-    """Return a try at a request."""
+    """Return a call for a request."""
     return Call(
         id=CallId("c"), customer=CUSTOMER, service=SERVICE, deadline=9.0, fingerprint=fingerprint
     )
@@ -430,7 +432,7 @@
 
 
 class TestCrashes:
-    """What is decided from what hosts say of crashes."""
+    """The decisions of `Crashes` from reports."""
 
     @pytest.mark.parametrize(
         ("reports", "quarantined"),
@@ -451,7 +453,7 @@
         ],
     )
     def test_table(self, reports: list[CrashReport], quarantined: str) -> None:
-        """Three crashes quarantine a request, but those of another one or before an answer."""
+        """Three crashes quarantine a request, except those due to another one or since cleared."""
         crashes = Crashes()
         crashes.merge(reports, now=0.0)
         assert [name for name in "ab" if crashes.quarantine_seconds(call(name), now=0.0)] == list(
@@ -460,7 +462,7 @@
 
     @given(reports=REPORTS, data=st.data())
     def test_order(self, reports: list[CrashReport], data: st.DataObject) -> None:
-        """Hosts that were told the same, in any order and more than once, decide the same."""
+        """Hosts decide the same for the same reports in any order, with duplicates."""
         others = data.draw(st.permutations(reports + reports[:2]))
         one, two = Crashes(), Crashes()
         one.merge(reports, now=0.0)
@@ -473,7 +475,7 @@
     @pytest.mark.parametrize("targets", [1, 3, 9])
     @pytest.mark.parametrize(("occasions", "seconds"), list(enumerate(QUARANTINE_STEPS_SECONDS, 1)))
     def test_seconds(self, targets: int, occasions: int, seconds: float) -> None:
-        """It is held back for longer after each occasion that follows, however many crash there."""
+        """The quarantine grows with each occasion, regardless of the crashes in each."""
         known = Crashes()
         for occasion in range(occasions):
             lost = range(100 * occasion, 100 * occasion + targets)
@@ -489,7 +491,7 @@
         assert not known.quarantined()
 
     def test_turns(self) -> None:
-        """Hosts that know the same try one after the other, the first ones well apart."""
+        """Hosts with the same reports retry one after the other, the first ones further apart."""
         names = tuple(HostName(f"h{index}") for index in range(91))
         left = []
         for name in names:
@@ -503,8 +505,8 @@
         assert apart[:MAX_TURNS] == [TURN_SECONDS + LATER_TURN_SECONDS] * MAX_TURNS
         assert set(apart[MAX_TURNS:]) == {LATER_TURN_SECONDS}
 
-    def test_told_on(self) -> None:
-        """A host that starts later counts the same occasions by what it is told."""
+    def test_later_host(self) -> None:
+        """A host that starts later counts the same occasions from the reports that it receives."""
         first, later = Crashes(), Crashes()
         for occasion in range(3):
             for target in range(9):
@@ -516,8 +518,8 @@
         assert left == pytest.approx(QUARANTINE_STEPS_SECONDS[2] - 5.0)
         assert later.quarantine_seconds(call("a"), now=1_045.0) == pytest.approx(left)
 
-    def test_one_try(self) -> None:
-        """As it ends one try goes through, and others wait for its outcome."""
+    def test_single_retry(self) -> None:
+        """After a quarantine one attempt is permitted, and others await its outcome."""
         known = Crashes()
         known.merge([report("a", [1, 2, 3])], now=0.0)
         ended = QUARANTINE_STEPS_SECONDS[0]
@@ -531,7 +533,7 @@
         assert not known.quarantine_seconds(call("a"), now=200.0)
 
     def test_bounded(self) -> None:
-        """Of very many requests that broke off those are remembered that did so last."""
+        """Beyond the bound, the requests that were interrupted last are remembered."""
         known = Crashes()
         count = MAX_SUSPECTS + 10
         for number in range(count):
--- a/tests/serving/test_domains.py
+++ b/tests/serving/test_domains.py
@@ -1,4 +1,4 @@
-"""Large fleets: who hears of which sends, and what hosts of a failure domain get out of it."""
+"""Large fleets: which hosts receive which digests, and where attempts are placed."""
 
 import pytest
 
@@ -53,7 +53,7 @@
 
 
 class Fleet:
-    """One host of a large fleet before engines that stand in two failure domains by turns."""
+    """One host of a large fleet, with engines that alternate between two failure domains."""
 
     def __init__(self, *, hosts: int = 3, engines: int = 8) -> None:
         myself = HostSelf(name=HostName("h0"), place=HOME, started=1)
@@ -64,11 +64,11 @@
         self._calls = 0
 
     def send(self, event: ServingEvent) -> list[object]:
-        """Hand an event to the reducer and return the effects."""
+        """Pass an event to the reducer and return the effects."""
         return list(reduce(self.state, event))
 
     def ask(self, prompt: int = 4_000, *, objective: float = 0.4) -> list[object]:
-        """Let a request arrive and be read, and return the effects of its arrival."""
+        """Let a request arrive and its prefill finish; return the effects of its arrival."""
         self._calls += 1
         call = Call(
             id=CallId(f"c{self._calls}"),
@@ -93,7 +93,7 @@
         return self.send(AttemptEnded(now=0.1, call=call, attempt=1, end=AttemptEnd.COMPLETE))
 
     def fill(self, place: PlaceName, streams: int) -> None:
-        """Let the totals of a failure domain say that each of its engines writes so many."""
+        """Receive totals of a failure domain with a number of streams at each engine."""
         names = [f"e{index}" for index in range(8) if place_of(index, 2) == place]
         busy = tuple(Occupancy(target=TargetName(name), streams=streams) for name in names)
         totals = DomainTotals(place=place, occupancies=busy)
@@ -101,12 +101,12 @@
 
 
 def sent_to(effects: list[object]) -> TargetName:
-    """Return where a request was sent."""
+    """Return the target that a request was sent to."""
     return next(effect.targets[0] for effect in effects if isinstance(effect, StartAttempt))
 
 
 def audience(effects: list[object]) -> frozenset[PlaceName] | None:
-    """Return the failure domains that are to hear of it."""
+    """Return the failure domains that receive the digest."""
     return next(effect.places for effect in effects if isinstance(effect, PublishDigest))
 
 
@@ -129,7 +129,7 @@
             (3, [[AWAY], [], []], False, {HOME}),
             (3, [[AWAY], [], []], True, {HOME}),
         ],
-        ids=["small", "idle", "near", "both", "ended", "told that it ended", "regular"],
+        ids=["small", "idle", "near", "both", "ended", "end reported", "regular"],
     )
     def test_places(
         self,
@@ -138,15 +138,15 @@
         regular: bool,
         heard: set[PlaceName] | None,
     ) -> None:
-        """The own failure domain hears, and others whose targets an account names or named."""
+        """The own domain receives it, and those of targets in this or the previous digest."""
         domains = Domains(own=HOME, full_hosts=2)
         domains.set_hosts(hosts)
         told = [domains.audience(places, regular=False) for places in accounts[:-1]]
         assert len(told) == len(accounts) - 1
         assert domains.audience(accounts[-1], regular=regular) == heard
 
-    def test_regular_is_no_last_word(self) -> None:
-        """A regular digest reaches a part of the hosts alone; the next change still goes to all."""
+    def test_regular_digest_keeps_audience(self) -> None:
+        """A regular digest reaches only some hosts; the next change still goes to all concerned."""
         domains = Domains(own=HOME, full_hosts=2)
         domains.set_hosts(3)
         domains.audience([AWAY], regular=False)
@@ -159,14 +159,14 @@
 
     @pytest.mark.parametrize(("prompt", "objective"), [(4_000, 0.4), (40_000, 4.0)])
     def test_near(self, prompt: int, objective: float) -> None:
-        """What the own failure domain can bear stays there, and is told there alone."""
+        """While the own failure domain has capacity, requests and digests stay there."""
         fleet = Fleet()
         effects = fleet.ask(prompt, objective=objective)
         assert place_at(sent_to(effects)) == HOME
         assert audience(effects) == {HOME}
 
     def test_borrowed(self) -> None:
-        """Beyond that it goes to another one, whose hosts are told, also of its end."""
+        """Excess load goes to another domain, whose hosts also receive the digest of its end."""
         fleet = Fleet()
         number = 1
         effects = fleet.ask()
@@ -179,14 +179,14 @@
 
     @pytest.mark.parametrize(("streams", "stays"), [(0, False), (40, True)])
     def test_totals(self, streams: int, stays: bool) -> None:
-        """It goes only where the totals of the other one say that there is room."""
+        """Excess load goes to another domain only if its totals show free capacity."""
         fleet = Fleet()
         fleet.fill(AWAY, streams)
         places = {place_at(sent_to(fleet.ask())) for _ in range(60)}
         assert (places == {HOME}) is stays
 
     def test_domain_without_engines(self) -> None:
-        """Where the own failure domain has no engine, those of others serve."""
+        """A host whose failure domain has no engine uses those of others."""
         fleet = Fleet()
         away = HostSelf(name=HostName("h0"), place=AWAY, started=1)
         fleet.state = ServingState(myself=away, seed=1, lean=True, full_hosts=2)
@@ -196,10 +196,10 @@
 
 
 class TestTotals:
-    """What is told of a whole failure domain."""
+    """The totals of a failure domain."""
 
-    def test_told(self) -> None:
-        """A host tells what is at the engines of its own one with each regular digest."""
+    def test_published(self) -> None:
+        """A host publishes the totals of its own domain with each regular digest."""
         fleet = Fleet()
         target = sent_to(fleet.ask())
         effects = fleet.send(Ticked(now=1.0))
@@ -208,12 +208,12 @@
         assert [item.target for item in totals.occupancies] == [target]
 
     def test_small_fleet(self) -> None:
-        """A host of a small fleet tells none."""
+        """A host of a small fleet publishes no totals."""
         effects = Fleet(hosts=2).send(Ticked(now=1.0))
         assert not [effect for effect in effects if isinstance(effect, PublishTotals)]
 
-    def test_forgotten(self) -> None:
-        """Totals that are old say nothing any more."""
+    def test_expired(self) -> None:
+        """Totals expire."""
         fleet = Fleet()
         fleet.fill(AWAY, 3)
         assert fleet.state.ledger.at(TargetName("e1")).streams == 3
@@ -221,13 +221,13 @@
         assert fleet.state.ledger.at(TargetName("e1")).streams == 0
 
     def test_own_domain(self) -> None:
-        """What others say of the own failure domain is not taken over."""
+        """Totals of the own failure domain from others are ignored."""
         fleet = Fleet()
         fleet.fill(HOME, 3)
         assert fleet.state.ledger.at(TargetName("e0")).streams == 0
 
     def test_restarted(self) -> None:
-        """What was said of an engine that has started again goes, and that of others stays."""
+        """A restart of an engine removes it from the totals and keeps the others."""
         fleet = Fleet()
         fleet.fill(AWAY, 3)
         fleet.state.ledger.restart([TargetName("e1")])
@@ -236,15 +236,16 @@
 
 
 class TestLoad:
-    """The credit that callers of a large fleet get on time."""
+    """The credit for requests of a large fleet that are served on time."""
 
     @pytest.mark.parametrize("place", [None, HOME], ids=["everywhere", "in one failure domain"])
     def test_on_time(self, place: PlaceName | None) -> None:
-        """It is nearly as if all hosts heard of all sends, at less than half of the messages.
+        """The credit is close to that with all digests for all hosts, at half of the messages.
 
-        Of 40 hosts before 36 engines in three failure domains, over three seeds: 0.86 of the credit
-        where all hear of all, 0.83 so, and 0.66 where nobody hears of anything; with all callers in
-        one failure domain 0.97, 0.95 and 0.70.  A host heard 0.36 of the messages.
+        Measured with 40 hosts and 36 engines in three failure domains, over three seeds: 0.86 of
+        the credit with all digests for all hosts, 0.83 with digests by domain, and 0.66 without
+        digests; with all callers in one failure domain 0.97, 0.95 and 0.70.  A host received 0.36
+        of the messages.
         """
         whole = _play(full_hosts=None, place=place)
         divided = _play(full_hosts=8, place=place)
--- a/tests/serving/test_limits.py
+++ b/tests/serving/test_limits.py
@@ -1,4 +1,7 @@
-"""The limits that targets name, kept by all hosts together."""
+"""Guards the rate limits of targets, which all hosts together must keep.
+
+A test's name states the failure, and its docstring the correct behaviour.
+"""
 
 from random import Random
 
@@ -23,28 +26,28 @@
 E0 = TargetName("e0")
 
 NAMED = 2.0
-"""When a target begins to name its limit."""
+"""When a target first announces its limit."""
 
 END = 20.0
 
 
 def name_limit(world: World, target: str, rate: float, *, at: float = NAMED) -> None:
-    """Let a target name a limit from a time on."""
+    """Let a target announce a limit from a time on."""
     world.at(at, lambda: world.targets.limits.__setitem__(TargetName(target), rate))
 
 
 def end_limit(world: World, target: str, *, at: float) -> None:
-    """Let a target name none any more."""
+    """Let a target announce no limit from a time on."""
     world.at(at, lambda: world.targets.limits.pop(TargetName(target)) and None)
 
 
 class TestSum:
-    """What a target gets from all hosts."""
+    """The requests that a target gets from all hosts."""
 
     @pytest.mark.parametrize("rate", [0.5, 1.0, 8.0])
     @pytest.mark.parametrize("hosts", [1, 6, 30, 91])
     def test_hosts_exceed_a_limit_together(self, hosts: int, rate: float) -> None:
-        """While others have room nobody is refused, and the limit is kept over all hosts."""
+        """While other targets have capacity no call is refused, and all hosts keep the limit."""
         world = World(hosts=hosts, targets=6, seed=hosts)
         name_limit(world, "e0", rate)
         world.load(rate=40.0, start=0.0, seconds=END)
@@ -56,7 +59,7 @@
     @pytest.mark.parametrize("rate", [0.5, 1.0, 8.0])
     @pytest.mark.parametrize("hosts", [1, 6, 30, 91])
     def test_limit_of_the_only_target_is_not_used(self, hosts: int, rate: float) -> None:
-        """Six tenths of what it takes are used, the rest is refused at once, and none exceeds."""
+        """Six tenths of the limit are used, the rest is refused at once, and it is kept."""
         world = World(hosts=hosts, targets=1, seed=hosts)
         name_limit(world, "e0", rate, at=0.0)
         world.load(rate=12.0, start=0.0, seconds=END)
@@ -70,7 +73,7 @@
 
     @pytest.mark.parametrize(("targets", "most"), [(1, 0), (2, 1)])
     def test_chosen_target_counted_as_left_aside(self, targets: int, most: int) -> None:
-        """What a send tells of targets left aside does not count those that it goes to."""
+        """The reported count of targets without a permit excludes the chosen one."""
         world = World(hosts=1, targets=targets, seed=1)
         for number in range(targets):
             name_limit(world, f"e{number}", 1.0, at=0.0)
@@ -80,7 +83,7 @@
         assert max(world.targets.left_aside) == most
 
     def test_sum_of_the_largest_fleet(self) -> None:
-        """420 hosts keep to one request a second, and use most of it."""
+        """420 hosts keep a limit of one request per second, and use most of it."""
         world = World(hosts=420, targets=2, seed=1)
         name_limit(world, "e0", 1.0, at=0.0)
         name_limit(world, "e1", 1.0, at=0.0)
@@ -92,7 +95,7 @@
         assert both >= 0.6 * 12.0
 
     def test_long_prompts_count_at_each_engine(self) -> None:
-        """They go to engines without a limit while there are some."""
+        """Long prompts go to engines without a limit while there are some."""
         world = World(hosts=6, targets=6, seed=1)
         name_limit(world, "e0", 1.0)
         world.load(rate=30.0, start=0.0, seconds=END)
@@ -101,7 +104,7 @@
         assert world.exceeds("e0", named=NAMED) <= 0
 
     def test_third_of_the_engines_name_limits(self) -> None:
-        """Many at different rates are kept beside each other, and the others bear the load."""
+        """Several limits with different rates are kept, and other engines take the load."""
         world = World(hosts=12, targets=12, seed=1)
         rates = {"e0": 0.5, "e1": 1.0, "e2": 3.0, "e3": 1.2}
         for number, (target, rate) in enumerate(rates.items()):
@@ -114,10 +117,10 @@
 
 
 class TestHosts:
-    """Hosts that come, go, or are cut off."""
+    """Hosts that start, stop, or are partitioned."""
 
     def test_host_that_starts_exceeds_the_limit(self) -> None:
-        """Hosts restarted in series keep to the limit, though each one knows nothing at first."""
+        """Hosts in a rolling restart keep the limit, although each starts without state."""
         world = World(hosts=6, targets=3, seed=2)
         name_limit(world, "e0", 1.0)
         for number in range(6):
@@ -133,7 +136,7 @@
 
     @pytest.mark.parametrize("count", [1, 3, 4])
     def test_hosts_that_are_cut_off_exceed_the_limit(self, count: int) -> None:
-        """Each is its own owner then, with its part of the rate alone."""
+        """Each becomes its own owner, with only its share of the rate."""
         world = World(hosts=6, targets=3, seed=3)
         name_limit(world, "e0", 1.0)
 
@@ -148,7 +151,7 @@
         assert world.exceeds("e0", named=NAMED) <= 0
 
     def test_hosts_that_know_of_no_other_exceed_the_limit(self) -> None:
-        """Where none can be known of yet, each takes a 420th."""
+        """While no other host can be known, each uses a 420th of the rate."""
         world = World(hosts=12, targets=3, seed=4, knowing=False)
         name_limit(world, "e0", 1.0, at=0.0)
         world.load(rate=30.0, start=0.0, seconds=END)
@@ -156,7 +159,7 @@
         assert world.exceeds("e0", named=1.0) <= 0
 
     def test_list_of_targets_ends_a_limit(self) -> None:
-        """A list of the store takes nothing of it away."""
+        """A new list of targets from the store does not change a limit."""
         world = World(hosts=6, targets=3, seed=5)
         name_limit(world, "e0", 1.0)
         for second in range(3, 19):
@@ -171,7 +174,7 @@
 
     @pytest.mark.parametrize(("hosts", "targets"), [(6, 3), (30, 12)])
     def test_target_that_said_it_once_is_starved(self, hosts: int, targets: int) -> None:
-        """It gets its share again soon after it names none any more, and not all at once."""
+        """The target gets its share soon after its limit ends, with a ramp-up."""
         world = World(hosts=hosts, targets=targets, seed=6)
         name_limit(world, "e0", 1.0)
         end_limit(world, "e0", at=8.0)
@@ -181,7 +184,7 @@
         assert world.arrived("e0", start=8.0, end=9.0) <= 30
 
     def test_rare_requests_leave_a_limit_in_force(self) -> None:
-        """With one request in five seconds the end is found out as well."""
+        """The end is also detected with one request in five seconds."""
         world = World(hosts=6, targets=2, seed=7)
         name_limit(world, "e0", 1.0)
         end_limit(world, "e0", at=8.0)
@@ -192,7 +195,7 @@
 
     @pytest.mark.parametrize(("before", "after"), [(4.0, 1.0), (1.0, 6.0)])
     def test_change_of_a_limit_goes_unheard(self, before: float, after: float) -> None:
-        """The new one is kept from 3 s on, and used."""
+        """The new limit is kept after 3 s, and used."""
         world = World(hosts=6, targets=1, seed=8)
         name_limit(world, "e0", before)
         name_limit(world, "e0", after, at=8.0)
@@ -203,10 +206,10 @@
 
 
 class TestCustomers:
-    """Who gets the permitted requests."""
+    """The division of permitted requests among customers."""
 
     def test_customer_that_sends_most_takes_all(self) -> None:
-        """One that sends ten times as much gets no more than twice as many."""
+        """A customer that sends ten times as much gets at most twice as many."""
         world = World(hosts=3, targets=1, seed=9)
         name_limit(world, "e0", 6.0, at=0.0)
         world.load(rate=40.0, start=0.0, seconds=40.0, customer="ann")
@@ -229,7 +232,7 @@
         ],
     )
     def test_bad_value_is_taken_as_it_is(self, rate: float | None, safe: float) -> None:
-        """Values that cannot be kept to are replaced by what is safe."""
+        """Values out of bounds are replaced by safe ones."""
         assert safe_rate(rate) == safe
 
     @pytest.mark.parametrize(
@@ -239,14 +242,14 @@
     def test_older_news_replaces_newer(
         self, age: float, rate: float | None, known: float | None
     ) -> None:
-        """Of two reports the one that was heard later is believed."""
+        """Of two reports the one with the later observation wins."""
         limits = Limits(starts=Starts())
         limits.record_limit(E0, started=0, rate=1.0, now=10.0)
         limits.merge([LimitReport(target=E0, started=0, rate=rate, age=age)], now=11.0)
         assert limits.rates(now=11.0).get(E0) == known
 
     def test_answer_that_was_overtaken_ends_a_limit(self) -> None:
-        """One to a request that was sent before the limit was heard of says nothing."""
+        """The answer to a request sent before the limit was observed is ignored."""
         limits = Limits(starts=Starts())
         limits.record_limit(E0, started=0, rate=1.0, now=10.0)
         assert limits.record_no_limit(E0, started=0, sent=9.9, now=10.1) is None
@@ -256,7 +259,7 @@
         assert not limits.any
 
     def test_end_of_a_limit_that_was_never_heard_of(self) -> None:
-        """A host that hears of the end alone lets the target's requests rise as well."""
+        """A host that learns only of the end ramps up as well."""
         limits = Limits(starts=Starts())
         assert not limits.merge([LimitReport(target=E0, started=0, rate=None, age=0.0)], now=10.0)
         rising = [limits.rate(E0, now=10.0 + seconds) for seconds in (0.1, 1.0, RAMP_SECONDS)]
@@ -265,7 +268,7 @@
         assert rising[2] is None
 
     def test_news_is_told_again_and_again(self) -> None:
-        """It is told once, and by regular digests then."""
+        """A change is reported once, and then by regular digests only."""
         limits = Limits(starts=Starts())
         limits.record_limit(E0, started=0, rate=1.0, now=10.0)
         assert limits.news
@@ -280,7 +283,7 @@
     """`Permits` and `Allocator`."""
 
     def test_two_hosts_take_themselves_for_the_owner(self) -> None:
-        """A host that others take for the owner by mistake gives nothing out."""
+        """A host that others mistake for the owner issues no permits."""
         limits = Limits(starts=Starts())
         limits.record_limit(E0, started=0, rate=1.0, now=0.0)
         random = Random(1)
@@ -294,7 +297,7 @@
         assert sum(bool(grant.valid) for grant in grants) == 1
 
     def test_pause_grows_with_the_hosts_that_ask(self) -> None:
-        """So that what is asked and refused stays in proportion to what is given out."""
+        """This keeps refused requests for permits in proportion to issued ones."""
         owner = Allocator(random=Random(1))
         pauses = [
             owner.grant(E0, rate=1.0, since=0.0, host=HostName(f"h{index}"), now=9.0).pause
--- a/tests/serving/test_starts.py
+++ b/tests/serving/test_starts.py
@@ -1,4 +1,7 @@
-"""A target that starts again under its name holds nothing of what its earlier start had."""
+"""Guards against state of a target's earlier start being applied after it has restarted.
+
+Entries, digests and reports arrive late or out of order, and a target keeps its name over restarts.
+"""
 
 from collections.abc import Callable
 
@@ -52,7 +55,7 @@
 def fleet(
     revision: int, started: int, *, others: int = 0, role: TargetRole = TargetRole.SERVING
 ) -> Snapshot:
-    """Return one plain target and one engine of a start, and others that never start again."""
+    """Return one plain target and one engine with a start, and others that never restart."""
     targets = [booking(PLAIN), engine(ENGINE)]
     held = [replace(target, started=started, role=role) for target in targets]
     rest = [replace(booking(f"o{index}"), started=BORN) for index in range(others)]
@@ -60,12 +63,12 @@
 
 
 def driver(started: int = BORN, *, others: int = 0) -> Driver:
-    """Return a host whose targets run in a start."""
+    """Return a host whose targets have a start."""
     return Driver(config=fleet(1, started, others=others))
 
 
 def adopt(host: Driver, started: int, *, revision: int = 2, others: int = 0) -> list[Effect]:
-    """Let the targets be told to run in a start, and return what becomes of it."""
+    """Adopt a configuration with a start of the targets, and return the effects."""
     config = fleet(revision, started, others=others)
     return host.send(SnapshotAdopted(now=host.now, snapshot=config))
 
@@ -88,7 +91,7 @@
 def told(
     host: Driver, *, started: int | None, sequence: int = 1, peer: str = "h2", streams: int = 1
 ) -> None:
-    """Let a peer tell of all that it has at the targets in a start, or without naming one."""
+    """Receive a peer's digest with load at the targets, with their start or without it."""
     names = (PLAIN, ENGINE)
     starts = () if started is None else (TargetStart(target=n, started=started) for n in names)
     digest = Digest(
@@ -105,7 +108,7 @@
 
 
 def report(started: int, *, waiting: int = 90_000) -> LoadReport:
-    """Return an engine's own report of its load."""
+    """Return an engine's load report."""
     return LoadReport(
         target=ENGINE,
         started=started,
@@ -121,52 +124,52 @@
 
 
 def target(host: Driver, name: TargetName) -> TargetState:
-    """Return what a host knows of a target."""
+    """Return a host's state of a target."""
     found = host.state.fleet.state(name)
     assert found is not None
     return found
 
 
-# --- What was believed ----------------------------------------------------------------------------
+# --- State of the earlier start -------------------------------------------------------------------
 
 
 def own_stream(host: Driver) -> None:
-    """Have a request under way."""
+    """Start a request at the plain target."""
     sent(host, plain_call("c1"))
 
 
 def own_prompt(host: Driver) -> None:
-    """Have a prompt under way that may run once."""
+    """Start a prompt that may run once."""
     sent(host, model_call("c1", runs=1))
 
 
 def broken(host: Driver) -> None:
-    """Have a request broken off."""
+    """Let a request be interrupted."""
     end(host, sent(host, plain_call("c1")), AttemptEnd.BROKEN)
 
 
 def full(host: Driver) -> None:
-    """Have a request refused for a while."""
+    """Let a request be refused with a retry time."""
     end(host, sent(host, plain_call("c1")), AttemptEnd.REFUSED, retry_after=0.5)
 
 
 def peers(host: Driver) -> None:
-    """Hear a peer's account."""
+    """Receive a peer's digest."""
     told(host, started=BORN)
 
 
 def peers_unsaid(host: Driver) -> None:
-    """Hear the account of a peer of an older version."""
+    """Receive the digest of a peer of an older version, which has no starts."""
     told(host, started=None)
 
 
 def unreachable(host: Driver) -> None:
-    """Miss an answer to a poll."""
+    """Let a poll fail."""
     host.send(TargetUnreachable(now=host.now, target=PLAIN))
 
 
 def slow(host: Driver) -> None:
-    """Learn that an engine is slower than it was before."""
+    """Observe that an engine has become slower."""
     for seconds in (0.1, 0.5):
         start = sent(host, model_call(f"c{seconds}"))
         host.now += seconds
@@ -180,12 +183,12 @@
 
 
 def reported(host: Driver) -> None:
-    """Hear an engine's own report."""
+    """Receive an engine's load report."""
     host.send(LoadReported(now=host.now, report=report(7)))
 
 
 def occupied(host: Driver) -> bool:
-    """Return whether the ledger holds anything."""
+    """Return whether the ledger contains load."""
     there = (host.state.ledger.at(name) for name in (PLAIN, ENGINE))
     return any(item != Occupancy(target=item.target) for item in there)
 
@@ -196,27 +199,27 @@
 
 
 def doubted(host: Driver) -> bool:
-    """Return whether the plain target is avoided or out of use."""
+    """Return whether the plain target is avoided or unusable."""
     return not target(host, PLAIN).preferred(host.now)
 
 
 def suspected(host: Driver) -> bool:
-    """Return whether this host tells others to avoid the plain target."""
+    """Return whether this host reports the plain target as suspect."""
     return bool(host.state.fleet.suspects(now=host.now))
 
 
 def marked(host: Driver) -> bool:
-    """Return whether the engine has failures in a row."""
+    """Return whether the plain target has consecutive failures."""
     return bool(target(host, PLAIN).failures)
 
 
 def waits(host: Driver) -> bool:
-    """Return whether a prompt is believed to wait at the engine."""
+    """Return whether a new prompt is expected to wait at the engine."""
     return target(host, ENGINE).waits(now=host.now, level=Level.SHORT) > 0.0
 
 
 def saved(host: Driver) -> bool:
-    """Return whether a peer saves the engine's memory."""
+    """Return whether a peer reserves the engine's memory."""
     return target(host, ENGINE).saved_until > host.now
 
 
@@ -226,7 +229,7 @@
 
 
 def fast(host: Driver) -> bool:
-    """Return whether the engine's speed is another one than usual."""
+    """Return whether the engine's speed differs from the default."""
     return host.state.costs.speed(ENGINE) != 1.0
 
 
@@ -236,7 +239,7 @@
 
 
 class TestBeliefs:
-    """What is believed of a target's earlier start."""
+    """The known state of a target's earlier start."""
 
     @pytest.mark.parametrize(
         ("bring", "believed"),
@@ -264,7 +267,7 @@
     def test_ends(
         self, bring: Callable[[Driver], None], believed: Callable[[Driver], bool]
     ) -> None:
-        """It ends with the one message that tells of a later start."""
+        """It is discarded when a later start becomes known."""
         host = driver()
         bring(host)
         assert believed(host)
@@ -292,17 +295,17 @@
         bring: Callable[[Driver], None],
         believed: Callable[[Driver], bool],
     ) -> None:
-        """The same start, one told late, none, or the first that is told ends nothing."""
+        """It is kept for the same start, an outdated one, none, or the first known one."""
         host = driver(before)
         bring(host)
         starts = len(only(StartAttempt, host.effects))
-        # A peer's account of the start that runs is not one of a start that is told late.
+        # A peer's account of the current start would not match an outdated start.
         adopt(host, after if before or bring is not peers else BORN)
         assert believed(host)
         assert len(only(StartAttempt, host.effects)) == starts
 
     def test_late_entry(self) -> None:
-        """An entry of the earlier start does not take the later one out of use."""
+        """A draining entry of the earlier start does not make the later one unusable."""
         host = driver(BORN + 1)
         config = fleet(2, BORN, role=TargetRole.DRAINING)
         host.send(SnapshotAdopted(now=host.now, snapshot=config))
@@ -311,7 +314,7 @@
 
     @pytest.mark.parametrize(("started", "counts"), [(7, False), (6, False), (8, True)])
     def test_late_reports(self, started: int, counts: bool) -> None:
-        """What an engine said of its earlier start and comes late is not believed."""
+        """Late reports of an engine's earlier start are ignored."""
         host = driver()
         reported(host)
         host.send(CacheReported(now=0.0, events=cache_events(7)))
@@ -320,15 +323,15 @@
         host.send(CacheReported(now=host.now, events=cache_events(started)))
         assert (waits(host), has_prefix(host)) == (counts, counts)
 
-    def test_told_again(self) -> None:
-        """What this host had at the earlier start is withdrawn before its peers at once."""
+    def test_digest_at_once(self) -> None:
+        """This host's digest at once removes its load at the earlier start."""
         host = driver()
         own_stream(host)
         effects = adopt(host, BORN + 1)
         assert [item.digest.occupancies for item in only(PublishDigest, effects)] == [()]
 
-    def test_forgotten(self) -> None:
-        """Targets that are gone for good are not remembered for ever."""
+    def test_bounded(self) -> None:
+        """The starts of targets that are no longer listed are bounded."""
         host = driver()
         for revision in range(2, 12):
             names = [f"t{revision}-{index}" for index in range(MAX_UNLISTED_STARTS // 4)]
@@ -341,7 +344,7 @@
 
 
 def cache_events(started: int) -> CacheEvents:
-    """Return the events by which an engine tells of a prefix that it cached."""
+    """Return the events in which an engine reports a cached prefix."""
     return CacheEvents(
         target=ENGINE, started=started, sequence=1, complete=True, added=PREFIX, removed=()
     )
@@ -351,12 +354,12 @@
 
 
 class TestAttempts:
-    """Attempts that are under way at the earlier start."""
+    """Running attempts at the earlier start."""
 
     @pytest.mark.parametrize("others", [0, 1])
     @pytest.mark.parametrize("call", [plain_call("c1", repeatable=True), model_call("c1")])
     def test_repeatable(self, call: Call, others: int) -> None:
-        """They are called off and begun again at once, there or elsewhere."""
+        """They are cancelled and restarted at once, there or elsewhere."""
         host = driver(others=others)
         first = sent(host, call)
         while call.service == "book" and first.targets != (PLAIN,):
@@ -398,7 +401,7 @@
         how: AttemptEnd,
         error: type[AzureswitchError] | None,
     ) -> None:
-        """Where nothing may be sent again, the connection's own end is the call's."""
+        """If no retry is permitted, the end of the connection determines the result."""
         host = driver()
         if retries is not None:
             host.state._retries = retries
@@ -416,13 +419,13 @@
             assert found.ran is Ran.UNKNOWN
             assert call.repeatable or isinstance(found, OutcomeLostError)
         assert len(only(StartAttempt, host.effects)) == 1
-        # The failure of the earlier start is not the later one's.
+        # A failure of the earlier start does not count against the later one.
         assert not doubted(host)
         assert not occupied(host)
         assert not loaded(host)
 
     def test_not_run(self) -> None:
-        """A connection that was never made proves that nothing ran, whichever start runs."""
+        """A refused connection proves that nothing ran, regardless of the start."""
         host = driver(others=1)
         first = sent(host, plain_call("c1"))
         adopt(host, BORN + 1, others=1)
@@ -444,7 +447,7 @@
         ],
     )
     def test_helpers(self, prompt: int, index: int, begun: bool, again: bool) -> None:
-        """A prompt that several read begins again unless its answer has begun."""
+        """A prompt on several engines is restarted unless its answer has begun."""
         config = paced_snapshot(PACE, 8)
         host = Driver(config=started_all(config))
         first = long_prompt(host, config, prompt)
@@ -466,7 +469,7 @@
     def test_answer_cut_short_by_news_of_a_start(
         self, prompt: int, index: int, silent: bool
     ) -> None:
-        """An answer that has begun goes on until its connection breaks or stays silent."""
+        """An answer that has begun continues until its connection breaks or stays silent."""
         config = paced_snapshot(PACE, 8)
         host = Driver(config=started_all(config))
         first = long_prompt(host, config, prompt)
@@ -486,13 +489,13 @@
 
 
 def long_prompt(host: Driver, config: Snapshot, prompt: int) -> StartAttempt:
-    """Let a prompt arrive that several engines read, and be sent."""
+    """Send a prompt that is split over several engines."""
     call = replace(model_call("c1", tokens=prompt), service=config.inventory.services[0].name)
     return sent(host, replace(call, model="m", unshared=True))
 
 
 def begin(host: Driver, start: StartAttempt) -> None:
-    """Let output of an attempt arrive."""
+    """Let the first token of an attempt arrive."""
     host.send(FirstTokenArrived(now=host.now, call=start.call, attempt=start.attempt))
 
 
@@ -508,7 +511,7 @@
 
 
 def started_all(config: Snapshot, *, later: set[TargetName] | None = None) -> Snapshot:
-    """Return a configuration whose targets say their start, some of them a later one."""
+    """Return a configuration with starts of all targets, later ones for some."""
     targets: tuple[Target, ...] = tuple(
         replace(item, started=BORN + (item.name in (later or set())))
         for item in config.inventory.targets
@@ -520,7 +523,7 @@
 
 
 class TestPeers:
-    """What peers tell of other starts than the one known here."""
+    """Digests of peers with other starts than the one known here."""
 
     @pytest.mark.parametrize(
         ("known", "started", "counts"),
@@ -534,7 +537,7 @@
         ],
     )
     def test_told(self, known: int, started: int | None, counts: bool) -> None:
-        """It counts where it may be the same start."""
+        """A digest counts if it may refer to the same start."""
         host = driver(known)
         told(host, started=started)
         assert (occupied(host), waits(host), doubted(host), saved(host)) == (counts,) * 4
@@ -554,15 +557,15 @@
     def test_adopted(
         self, known: int, heard: tuple[int | None, ...], adopted: int, streams: int
     ) -> None:
-        """What was told of a later start counts from the moment at which that is known here."""
+        """An account of a later start counts as soon as that start is known here."""
         host = driver(known)
         for index, started in enumerate(heard):
             told(host, started=started, peer=f"p{index}")
         adopt(host, adopted)
         assert host.state.ledger.at(PLAIN).streams == streams
 
-    def test_names(self) -> None:
-        """This host's digests name the start of each target once."""
+    def test_digest_starts(self) -> None:
+        """This host's digests contain the start of each target once."""
         host = driver()
         broken(host)
         sent(host, plain_call("c2"))
@@ -584,7 +587,7 @@
 
 
 class StartsMachine(RuleBasedStateMachine):
-    """Plays entries and digests late, early and crossed, against accounts that are kept apart."""
+    """Delivers entries and digests late or out of order, and compares accounts with a model."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -606,7 +609,7 @@
         return snapshot(revision=revision, targets=[*targets, engine("e1")])
 
     def take(self, effects: list[Effect]) -> None:
-        """Check effects one by one."""
+        """Check effects and apply them to the model."""
         for effect in effects:
             if isinstance(effect, StartAttempt):
                 assert effect.call not in self.finished
@@ -640,7 +643,7 @@
     @precondition(lambda self: self.own)
     @rule(index=INDEXES, how=st.sampled_from(AttemptEnd))
     def end(self, index: int, how: AttemptEnd) -> None:
-        """An attempt ends, perhaps one that is over already."""
+        """An attempt ends, possibly one that has already ended."""
         key = list(self.own)[-1 - index % len(self.own)]
         if how is AttemptEnd.REJECTED:
             how = AttemptEnd.BROKEN
@@ -652,7 +655,7 @@
 
     @rule(starts=st.dictionaries(st.sampled_from(NAMES), STARTS, min_size=1))
     def entries(self, starts: dict[TargetName, int]) -> None:
-        """Entries are told in any order, and targets that are not among them are gone."""
+        """Entries arrive in any order; targets without one are no longer listed."""
         self.revision += 1
         again = {name for name, new in starts.items() if 0 < self.known[name] < new}
         for host, (sequence, at, items) in self.accounts.items():
@@ -660,7 +663,7 @@
             self.accounts[host] = (sequence, at, left)
         for name, started in starts.items():
             if not self.known[name]:
-                # What was sent before the first start was told is taken to run in that one.
+                # Attempts from before the first known start count as sent to that start.
                 sent = {key: item for key, item in self.own.items() if item == (name, 0)}
                 self.own.update(dict.fromkeys(sent, (name, started)))
             self.known[name] = max(self.known[name], started)
@@ -674,7 +677,7 @@
         items=st.dictionaries(st.sampled_from(NAMES), st.none() | STARTS),
     )
     def digest(self, host: str, sequence: int, items: dict[TargetName, int | None]) -> None:
-        """A peer's digest arrives, perhaps an old one, of any starts or of none."""
+        """A peer's digest arrives, possibly an outdated one, with any starts or none."""
         items = {name: started or None for name, started in items.items()}
         digest = Digest(
             host=HostName(host),
@@ -702,7 +705,7 @@
 
     @invariant()
     def counted(self) -> None:
-        """Each account holds what was sent to the start known here, and nothing else."""
+        """The ledger counts exactly the attempts at the starts known here."""
         for name in NAMES:
             known = self.known[name]
             mine = sum(self.own[key] == (name, known) for key in self.open)
@@ -713,7 +716,7 @@
             assert self.driver.state.ledger.at(name).streams == mine + theirs
 
     def teardown(self) -> None:
-        """Let time pass until each call has its answer; nothing is left of any."""
+        """Advance the time until each call has finished, and check that no load is left."""
         self.tick(2.0 * PEER_SECONDS)
         assert set(self.finished) == set(self.calls)
         assert not self.open
