--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -151,7 +151,7 @@
 
     @property
     def changed(self) -> bool:
-        """Whether something has changed since the last digest."""
+        """Whether this host has new reports since the last digest."""
         return self._changed
 
     @property
--- a/src/azureswitch/serving/_limits.py
+++ b/src/azureswitch/serving/_limits.py
@@ -13,7 +13,7 @@
 from azureswitch.serving._starts import Starts
 
 MIN_RATE = 0.1
-"""Lowest rate kept to, in requests per second; their answers show when the limit rises."""
+"""Lowest rate kept to, in requests per second, so that answers show when the limit rises."""
 
 UNREADABLE_RATE = 0.5
 """Requests per second to a target whose limit cannot be parsed: it is overloaded to an unknown
@@ -166,7 +166,7 @@
         return target in self._observations
 
     def since(self, target: TargetName) -> float:
-        """Return since when a target has had its limit, or has had none; it must be a known one."""
+        """Return since when a known target has had a limit, or has had none."""
         return self._observations[target].since
 
     def seconds_unobserved(self, target: TargetName, *, now: float) -> float:
--- a/tests/serving/test_starts.py
+++ b/tests/serving/test_starts.py
@@ -88,7 +88,7 @@
     return host.send(event)
 
 
-def told(
+def receive_digest(
     host: Driver, *, started: int | None, sequence: int = 1, peer: str = "h2", streams: int = 1
 ) -> None:
     """Receive a peer's digest with load at the targets, with their start or without it."""
@@ -155,12 +155,12 @@
 
 def peers(host: Driver) -> None:
     """Receive a peer's digest."""
-    told(host, started=BORN)
+    receive_digest(host, started=BORN)
 
 
 def peers_unsaid(host: Driver) -> None:
     """Receive the digest of a peer of an older version, which has no starts."""
-    told(host, started=None)
+    receive_digest(host, started=None)
 
 
 def unreachable(host: Driver) -> None:
@@ -198,7 +198,7 @@
     return bool(host.state.fleet.loads() or target(host, ENGINE).running)
 
 
-def doubted(host: Driver) -> bool:
+def avoided(host: Driver) -> bool:
     """Return whether the plain target is avoided or unusable."""
     return not target(host, PLAIN).preferred(host.now)
 
@@ -242,7 +242,7 @@
     """The known state of a target's earlier start."""
 
     @pytest.mark.parametrize(
-        ("bring", "believed"),
+        ("arrange", "present"),
         [
             (own_stream, occupied),
             (own_prompt, loaded),
@@ -250,14 +250,14 @@
             (peers, occupied),
             (peers_unsaid, occupied),
             (peers, waits),
-            (peers, doubted),
+            (peers, avoided),
             (peers, saved),
-            (broken, doubted),
+            (broken, avoided),
             (broken, suspected),
             (broken, marked),
-            (full, doubted),
+            (full, avoided),
             (full, failed),
-            (unreachable, doubted),
+            (unreachable, avoided),
             (unreachable, suspected),
             (slow, fast),
             (cached, has_prefix),
@@ -265,25 +265,25 @@
         ],
     )
     def test_ends(
-        self, bring: Callable[[Driver], None], believed: Callable[[Driver], bool]
+        self, arrange: Callable[[Driver], None], present: Callable[[Driver], bool]
     ) -> None:
         """It is discarded when a later start becomes known."""
         host = driver()
-        bring(host)
-        assert believed(host)
+        arrange(host)
+        assert present(host)
         adopt(host, BORN + 1)
-        assert not believed(host)
+        assert not present(host)
 
     @pytest.mark.parametrize("before", [BORN, 0])
     @pytest.mark.parametrize("after", [BORN - 1, 0, BORN])
     @pytest.mark.parametrize(
-        ("bring", "believed"),
+        ("arrange", "present"),
         [
             (own_stream, occupied),
             (own_prompt, loaded),
             (peers, occupied),
             (peers_unsaid, occupied),
-            (broken, doubted),
+            (broken, avoided),
             (cached, has_prefix),
             (reported, waits),
         ],
@@ -292,16 +292,16 @@
         self,
         before: int,
         after: int,
-        bring: Callable[[Driver], None],
-        believed: Callable[[Driver], bool],
+        arrange: Callable[[Driver], None],
+        present: Callable[[Driver], bool],
     ) -> None:
         """It is kept for the same start, an outdated one, none, or the first known one."""
         host = driver(before)
-        bring(host)
+        arrange(host)
         starts = len(only(StartAttempt, host.effects))
         # A peer's account of the current start would not match an outdated start.
-        adopt(host, after if before or bring is not peers else BORN)
-        assert believed(host)
+        adopt(host, after if before or arrange is not peers else BORN)
+        assert present(host)
         assert len(only(StartAttempt, host.effects)) == starts
 
     def test_late_entry(self) -> None:
@@ -373,7 +373,7 @@
         late = end(host, first, AttemptEnd.BROKEN)
         assert not only(FinishCall, late)
         assert not only(StartAttempt, late)
-        assert not doubted(host)
+        assert not avoided(host)
         assert only(FinishCall, end(host, start, AttemptEnd.COMPLETE))[0].error is None
         assert not occupied(host)
         assert not loaded(host)
@@ -420,7 +420,7 @@
             assert call.repeatable or isinstance(found, OutcomeLostError)
         assert len(only(StartAttempt, host.effects)) == 1
         # A failure of the earlier start does not count against the later one.
-        assert not doubted(host)
+        assert not avoided(host)
         assert not occupied(host)
         assert not loaded(host)
 
@@ -539,8 +539,8 @@
     def test_told(self, known: int, started: int | None, counts: bool) -> None:
         """A digest counts if it may refer to the same start."""
         host = driver(known)
-        told(host, started=started)
-        assert (occupied(host), waits(host), doubted(host), saved(host)) == (counts,) * 4
+        receive_digest(host, started=started)
+        assert (occupied(host), waits(host), avoided(host), saved(host)) == (counts,) * 4
 
     @pytest.mark.parametrize(
         ("known", "heard", "adopted", "streams"),
@@ -560,7 +560,7 @@
         """An account of a later start counts as soon as that start is known here."""
         host = driver(known)
         for index, started in enumerate(heard):
-            told(host, started=started, peer=f"p{index}")
+            receive_digest(host, started=started, peer=f"p{index}")
         adopt(host, adopted)
         assert host.state.ledger.at(PLAIN).streams == streams
 
