--- a/src/azureswitch/serving/__init__.py
+++ b/src/azureswitch/serving/__init__.py
@@ -1,4 +1,4 @@
-"""The policy: admission, routing, attempts and retries, as one reducer."""
+"""The serving policy: admission, routing, attempts and retries, as one reducer."""
 
 from azureswitch.serving._admission import TURNED_SECONDS
 from azureswitch.serving._crashes import QUARANTINE_SECONDS
--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -1,7 +1,8 @@
-"""Ends calls and attempts and frees what they hold, also where this program fails at one of them.
+"""Ends calls and attempts, releases their resources, and contains exceptions to one call.
 
-What happens to one call is no decision about another: where a step for a call fails, that call is
-answered as failed and a line is logged, and the steps of the same event for others are taken.
+An event may concern several calls.  Where handling it raises for one of them, the exception is
+logged and the event is still handled for the others.  The call itself is answered with an error,
+unless it has running attempts that the failed step left untouched and need not have ended.
 """
 
 from collections.abc import Callable
@@ -29,20 +30,26 @@
     now: float,
     final: bool = False,
 ) -> list[Effect]:
-    """Take a step for one call, and answer the call as failed where the step fails.
+    """Run one step of a call's handling, and end the call with an error if the step raises.
+
+    A call that is running, and whose attempts the step did not change, goes on instead, unless
+    ``final`` is set.
 
     Args:
         state: The state.
         record: The call.
-        step: The step.
+        step: Returns the effects of the step.
         now: The time, in seconds of the monotonic clock.
-        final: Whether the step ends the call.  One that runs goes on otherwise, as it was.
+        final: Whether the step was to end the call.
+
+    Returns:
+        The effects of the step, or those that end the call where it raised.
     """
     before = dict(record.attempts)
     try:
         return step()
     except Exception:
-        logging.exception("serving: A step for call %s failed.", record.call.id)
+        logging.exception("serving: Handling an event for call %s failed.", record.call.id)
     untouched = record.attempts.keys() == before.keys() and record.call.id in state.calls
     if before and untouched and not final:
         return []
@@ -52,18 +59,27 @@
 def _fail(
     state: ServingState, record: CallRecord, before: dict[int, Attempt], *, now: float
 ) -> list[Effect]:
-    """End a call at which this program failed, and call all of its attempts off."""
+    """End a call with an internal error and cancel all of its attempts.
+
+    Args:
+        state: The state.
+        record: The call.
+        before: Its attempts before the step that raised.
+        now: The time, in seconds of the monotonic clock.
+    """
     known = {**before, **record.attempts}
-    taken = [_cancelled(record, known[number]) for number in known.keys() - record.attempts.keys()]
+    removed = [
+        _cancelled(record, known[number]) for number in known.keys() - record.attempts.keys()
+    ]
     error = AzureswitchError()
     state.calls[record.call.id] = record
     try:
         return [
-            *taken,
+            *removed,
             *finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now),
         ]
     except Exception:
-        logging.exception("serving: What call %s holds was not freed.", record.call.id)
+        logging.exception("serving: Releasing the resources of call %s failed.", record.call.id)
     state.calls.pop(record.call.id, None)
     effects: list[Effect] = [_cancelled(record, attempt) for attempt in known.values()]
     if record.claimed:
@@ -76,7 +92,17 @@
 
 
 def run_isolated(step: Callable[[], list[Effect]], *, name: str) -> list[Effect]:
-    """Do what is no single call's; where it fails, what was decided for calls stands."""
+    """Run a step that belongs to no single call, and log an exception that it raises.
+
+    The effects that the same event has had on calls are kept.
+
+    Args:
+        step: Returns the effects of the step.
+        name: Names the step in the log.
+
+    Returns:
+        The effects of the step, or none where it raised.
+    """
     try:
         return step()
     except Exception:
@@ -95,7 +121,7 @@
 
 
 def release(state: ServingState, record: CallRecord, attempt: Attempt) -> None:
-    """Strike an attempt that is over out of the accounts."""
+    """Remove an attempt that has ended from the load of its targets and from the ledger."""
     if attempt.first_token is None:
         state.fleet.prefilled(attempt.counted, work=attempt.work)
     state.fleet.remove(attempt.counted, work=attempt.work)
@@ -105,7 +131,7 @@
 def cancel_others(
     state: ServingState, record: CallRecord, *, keep: int | None = None
 ) -> list[Effect]:
-    """Cancel the attempts of a call but one."""
+    """Cancel all attempts of a call, except for attempt ``keep`` where it is given."""
     effects: list[Effect] = []
     for number in [number for number in record.attempts if number != keep]:
         effects += cancel(state, record, number)
@@ -113,7 +139,7 @@
 
 
 def cancel(state: ServingState, record: CallRecord, number: int) -> list[Effect]:
-    """Call an attempt off; it counts as one that may have run."""
+    """Cancel an attempt; it counts as one that may have run."""
     attempt = record.attempts.pop(number)
     record.may_have_run = True
     record.run_count += 1
@@ -133,7 +159,15 @@
     outcome: ClaimOutcome,
     now: float,
 ) -> list[Effect]:
-    """Give a call its one final answer and free what it holds."""
+    """End a call with its one final answer and release its resources.
+
+    Args:
+        state: The state.
+        record: The call.
+        error: The caller's answer, or None where the call succeeded or its answer is replayed.
+        outcome: What is recorded of the call's claim, where it holds one.
+        now: The time, in seconds of the monotonic clock.
+    """
     call = record.call
     del state.calls[call.id]
     state.queue.remove(call.id)
--- a/src/azureswitch/serving/_loop.py
+++ b/src/azureswitch/serving/_loop.py
@@ -1,4 +1,4 @@
-"""Feeds the serving reducer events one after the other."""
+"""The event loop of the serving reducer."""
 
 from collections import deque
 from collections.abc import Callable
@@ -13,14 +13,15 @@
 
 
 class Loop:
-    """Hands events to the reducer and has its effects carried out, in order.
+    """Applies events to the reducer and executes its effects, in order.
 
-    An effect that is carried out may bring about further events; they wait until all effects of
-    the event before them have been carried out.  An attempt that cannot be started has failed.
+    An effect may dispatch further events; these are queued until all effects of the current event
+    have been executed.  An attempt whose `StartAttempt` raises is reported to the reducer as
+    BROKEN.
 
     Args:
         state: The reducer's state.
-        run: Carries out an effect.
+        run: Executes an effect.
     """
 
     def __init__(self, *, state: ServingState, run: Callable[[Effect], None]) -> None:
@@ -31,11 +32,11 @@
 
     @property
     def busy(self) -> bool:
-        """Whether an event is being applied, so that further ones wait."""
+        """Whether an event is being applied, so that further ones are queued."""
         return self._busy
 
     def dispatch(self, event: ServingEvent) -> None:
-        """Hand over an event, and carry out what the reducer asks for."""
+        """Apply an event and execute its effects, or queue it while another one is applied."""
         self._events.append(event)
         if self._busy:
             return
@@ -44,20 +45,21 @@
             while self._events:
                 event = self._events.popleft()
                 for effect in reduce(self._state, event):
-                    self._carry_out(effect, now=event.now)
+                    self._execute(effect, now=event.now)
         finally:
             self._busy = False
 
-    def _carry_out(self, effect: Effect, *, now: float) -> None:
-        """Carry an effect out; where that fails, those of other calls are carried out all the same.
+    def _execute(self, effect: Effect, *, now: float) -> None:
+        """Execute an effect, and log an exception that it raises.
 
-        A log that could not be written to, as one of three requests was ended at the end of the
-        time of grace, left the other two without an answer.
+        The exception is contained because an event may have effects on several calls: when a log
+        that could not be written to ended the event that stops the host, two of three open
+        requests were left without an answer.
         """
         try:
             self._run(effect)
         except Exception:
-            logging.exception("serving: %s was not carried out.", type(effect).__name__)
+            logging.exception("serving: Executing %s failed.", type(effect).__name__)
             if isinstance(effect, StartAttempt):
                 self._events.append(
                     AttemptEnded(
--- a/src/azureswitch/serving/_retries.py
+++ b/src/azureswitch/serving/_retries.py
@@ -1,4 +1,4 @@
-"""When a failed attempt may be followed by another one."""
+"""Retry budget, backoff, hedging delay and silence timeouts of attempts."""
 
 from math import inf
 from random import Random
@@ -8,51 +8,52 @@
 from azureswitch.serving._events import Call
 
 RETRY_SHARE = 0.1
-"""Retries permitted per admitted call."""
+"""Retries that each admitted call adds to the budget."""
 
 RETRY_BURST = 20.0
-"""Retries permitted beside that, so that a quiet host may still retry."""
+"""Retries permitted beyond that share, so that a host with little traffic can still retry."""
 
 HEDGE_DELAY_FACTOR = 5.0
-"""Times its expected time to the first token after which a short prompt is hedged."""
+"""Delay before a short prompt is hedged, as a multiple of its expected time to first token."""
 
 MIN_HEDGE_DELAY_SECONDS = 2.0
-"""Seconds without a first token before a hedge, at least."""
+"""Lower bound of the delay before a hedge."""
 
 HEDGE_COST = 2.0
-"""Retries of the budget that a hedge takes, so that hedges end before retries do."""
+"""Retries that a hedge takes from the budget, so that hedging stops before retries do."""
 
 LOST_SECONDS = 1.5
-"""Seconds without an answer to any poll after which a target's attempts are started elsewhere."""
+"""Seconds without an answer to any poll after which a target's attempts move to other targets."""
 
 STUCK_SECONDS = 1.0
-"""Seconds for which requests wait at an engine that runs none before they are taken back."""
+"""Seconds after which requests waiting at an engine that runs none are withdrawn from it."""
 
 MAX_RETRIES = 8
-"""Retries of one call, at most."""
+"""Upper bound of the retries of one call."""
 
-FIRST_BACKOFF_SECONDS = 0.05
-"""Seconds before the first retry, at the middle of its jitter."""
+BASE_BACKOFF_SECONDS = 0.05
+"""Base of the exponential backoff; its upper bound is twice this before the first retry."""
 
 MAX_BACKOFF_SECONDS = 5.0
-"""Seconds that a backoff reaches at most."""
-
+"""Upper bound of any backoff."""
 
 MIN_BURST = 1.0
-"""Retries that a host may save up at least; with a share below one it could never retry at all."""
+"""Retries that any host can accumulate; a host whose burst is below one could else never retry."""
 
 
 class RetryBudget:
-    """A budget of retries as a share of live traffic.
+    """A retry budget in proportion to live traffic.
 
-    What was taken is given back by later calls.  So a host that learns how many others share the
-    burst has its part of it at once, less what it has taken, and a host that starts among many
-    cannot spend more than its part before it knows of them.
+    The budget counts the retries taken, and each admitted call lowers the count.  The count is
+    kept when the burst of this host changes, so that a host which learns how many hosts share the
+    fleet's burst has its part of it at once, less what it has taken already, and that a host
+    which has just started cannot spend more than its part before it knows of the others.
 
     Args:
-        share: Retries permitted per admitted call.
-        burst: Retries permitted beside that, for this host.
-        fleet_burst: The same for all hosts together, which they share evenly, or None.
+        share: Retries that each admitted call adds to the budget.
+        burst: Retries permitted beyond that on this host.
+        fleet_burst: Retries permitted beyond that on all hosts together, or None.  `set_hosts`
+            divides them evenly and puts this host's part in place of ``burst``.
     """
 
     def __init__(
@@ -68,22 +69,22 @@
         self._taken = 0.0
 
     def set_hosts(self, count: int) -> None:
-        """Share the burst of the fleet among so many hosts."""
+        """Divide the burst of the fleet among ``count`` hosts."""
         if self._fleet_burst is not None:
             self._burst = self._fleet_burst / max(1, count)
 
     def admitted(self) -> None:
         """Count an admitted call."""
-        # Below zero only where the burst is less than one retry, up to which a host may save.
-        least = min(0.0, self._burst - MIN_BURST)
-        self._taken = max(least, self._taken - self._share)
+        # Negative only where the burst is below MIN_BURST, to which the host may then accumulate.
+        floor = min(0.0, self._burst - MIN_BURST)
+        self._taken = max(floor, self._taken - self._share)
 
     def permits(self, cost: float = 1.0) -> bool:
-        """Return whether there are as many retries in the budget."""
+        """Return whether the budget holds ``cost`` retries."""
         return self._burst - self._taken >= cost
 
     def take(self, cost: float = 1.0) -> bool:
-        """Take retries out of the budget and return whether there were as many."""
+        """Take ``cost`` retries from the budget; return False and take none if it holds fewer."""
         if not self.permits(cost):
             return False
         self._taken += cost
@@ -91,30 +92,31 @@
 
 
 MIN_FIRST_OUTPUT_SECONDS = 0.8
-"""Seconds without a first token before another target is tried, at least.
+"""Lower bound of the timeout for the first output of an attempt.
 
-Callers leave after 2 s.
+Callers disconnect after 2 s, so that another target must be tried well before that.
 """
 
 FIRST_OUTPUT_FACTOR = 3.0
-"""Times the predicted time to the first token after which another target is tried."""
+"""Timeout for the first output, as a multiple of the predicted time to first token."""
 
 MIN_OUTPUT_GAP_SECONDS = 1.2
-"""Seconds without output midway before another target is tried, at least.
+"""Lower bound of the timeout between two outputs of an attempt.
 
-A pass that reads a part of a long prompt lasts 0.5 s; callers leave after 2 s.
+An engine pass that prefills a part of another, long prompt delays outputs by 0.5 s; callers
+disconnect after 2 s.
 """
 
 OUTPUT_GAP_FACTOR = 3.0
-"""Times the objective for pauses after which another target is tried."""
+"""Timeout between two outputs, as a multiple of the call's objective for such gaps."""
 
 
 class SilenceTimeouts(Struct, frozen=True, kw_only=True):
     """How long an attempt may be silent, in seconds, before another target is tried.
 
     Attributes:
-        first: Before its first output.
-        gap: Between two outputs.
+        first: Timeout for its first output.
+        gap: Timeout between two outputs.
     """
 
     first: float = inf
@@ -125,8 +127,9 @@
     """Return how long an attempt may be silent before another target is tried.
 
     Args:
-        call: The call; one that must not run twice is waited for whatever happens.
-        first_token: Predicted seconds to the first token, or zero where there is no prediction.
+        call: The call.  One that must not run twice has no timeouts.
+        first_token: Predicted seconds to the first token, or zero where there is no prediction,
+            and then there are no timeouts either.
     """
     if not call.repeatable or not first_token:
         return SilenceTimeouts()
@@ -137,14 +140,20 @@
 
 
 MIN_QUEUE_SECONDS = 0.5
-"""Seconds for which a call that can come back waits for a target, at least: one may be replaced."""
+"""Lower bound of the time that a call which its caller can send to another host may be queued.
+
+It leaves time for a failed target to be replaced.
+"""
 
 QUEUE_OBJECTIVE_SHARE = 0.25
-"""Share of its objective for which it does so; from there on waiting here counts against us."""
+"""That time as a share of the call's objective for its first output.
+
+Waiting here for longer would count against the objective.
+"""
 
 
 def max_queue_seconds(call: Call) -> float:
-    """Return for how long a call waits here that its caller can send to another host."""
+    """Return the most seconds in the queue for a call that its caller can send to another host."""
     return max(MIN_QUEUE_SECONDS, QUEUE_OBJECTIVE_SHARE * call.objective)
 
 
@@ -152,21 +161,21 @@
     """Return the seconds without a first token after which a call is hedged.
 
     Args:
-        expected: Seconds to the first token that were expected.
+        expected: Expected seconds to the first token.
     """
     return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FACTOR * expected)
 
 
 def backoff(retry: int, *, random: Random) -> float:
-    """Return the seconds to wait before a retry.
+    """Return the seconds to wait before a retry, with jitter.
 
     Args:
-        retry: Counts retries of the call from 1.
+        retry: Number of the retry, counted from 1 for each call.
         random: The source of the jitter.
     """
     return random.uniform(0.25, 1.0) * max_backoff(retry)
 
 
 def max_backoff(retry: int) -> float:
-    """Return the most seconds to wait before a retry, which count from 1."""
-    return min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0**retry)
+    """Return the upper bound of the backoff before a retry; retries are numbered from 1."""
+    return min(MAX_BACKOFF_SECONDS, BASE_BACKOFF_SECONDS * 2.0**retry)
--- a/src/azureswitch/serving/_termination.py
+++ b/src/azureswitch/serving/_termination.py
@@ -1,4 +1,4 @@
-"""Ends calls that are not sent any more, and says truly whether they may have run."""
+"""Ends calls that are not sent again, with an error that tells whether they may have run."""
 
 from azureswitch.core import Effect
 from azureswitch.exceptions import (
@@ -22,26 +22,29 @@
 
 
 def give_up(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """Answer a call whose attempts are used up, at once and with the time to come back."""
+    """End a call that may not be retried, with an error that says when the caller may retry."""
     seconds = backoff(record.retry_count + 3, random=state.random)
     return _refuse(state, record, NoTargetError(seconds=seconds), now=now)
 
 
 def end_quarantined(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """End a call under which targets crash, at once; it is sent to no other one."""
+    """End a call whose request is quarantined because targets crashed while running it."""
     seconds = state.crashes.seconds_left(record.call, now=now)
     return _refuse(state, record, QuarantinedError(seconds=seconds), now=now)
 
 
 def end_limited(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """End a call that gets no permit in time where all targets for it name limits."""
+    """End a call that gets no permit in time, as all of its targets have a rate limit."""
     return _refuse(state, record, limit_reached(state, record.pool, now=now), now=now)
 
 
 def _refuse(
     state: ServingState, record: CallRecord, refusal: RefusedError, *, now: float
 ) -> list[Effect]:
-    """End a call by a refusal, or as failed where it may have run, with the same time."""
+    """End a call with a refusal if it has not run, and else with a failure.
+
+    Both carry the same time after which the caller may retry.
+    """
     if not record.may_have_run:
         return finish(state, record, error=refusal, outcome=ClaimOutcome.NOT_RUN, now=now)
     error = RetriesExhaustedError(attempts=record.attempt_count, seconds=refusal.seconds)
@@ -49,7 +52,7 @@
 
 
 def end_expired(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """End a call whose deadline has come."""
+    """End a call whose deadline has passed."""
     if record.attempts or record.may_have_run:
         error: AzureswitchError = DeadlineExceededError()
         return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
@@ -58,7 +61,7 @@
 
 
 def end_unfinishable(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """Give up on a waiting call that could no longer finish in its time."""
+    """End a waiting call that can no longer finish before its deadline."""
     if record.may_have_run:
         return give_up(state, record, now=now)
     if all_limited(state, record.pool, now=now):
@@ -68,7 +71,7 @@
 
 
 def end_stopped(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """End a call that is open as this host stops, and say truly whether it may have run."""
+    """End a call that is still open when this host stops."""
     seconds = backoff(1, random=state.random)
     if not record.attempts and not record.may_have_run:
         error: AzureswitchError = LeavingError(seconds=seconds)
