--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -104,7 +104,7 @@
                 targets=",".join(effect.targets),
                 held=sum(effect.reserved),
                 predicted=round(effect.first_token, 3),
-                peers=effect.accounts,
+                peers=effect.known_peers,
                 held_back=effect.held_back,
                 after=record.last_event,
             )
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -176,7 +176,7 @@
             timeout=max(0.0, call.deadline - now),
             reserved=choice.reserved,
             first_token=choice.first_token,
-            accounts=state.ledger.accounts,
+            known_peers=state.ledger.accounts,
             first_output_timeout=silence.first,
             output_gap_timeout=silence.gap,
             held_back=held_back,
--- a/src/azureswitch/serving/_effects.py
+++ b/src/azureswitch/serving/_effects.py
@@ -1,4 +1,4 @@
-"""What the serving reducer asks its shell to do."""
+"""Effects that the serving reducer returns for the shell to execute."""
 
 from enum import Enum
 from math import inf
@@ -11,7 +11,7 @@
 
 
 class ClaimCall(Effect, frozen=True, kw_only=True):
-    """Claim a non-idempotent call; answer by ClaimGranted, ClaimReplayed or ClaimDenied."""
+    """Claim a non-idempotent call; the shell answers ClaimGranted, ClaimReplayed or ClaimDenied."""
 
     call: CallId
     customer: CustomerName
@@ -21,7 +21,7 @@
 
 
 class ClaimOutcome(Enum):
-    """What became of a claimed call."""
+    """The outcome of a claimed call."""
 
     NOT_RUN = "not_run"
     DONE = "done"
@@ -29,29 +29,30 @@
 
 
 class SettleClaim(Effect, frozen=True, kw_only=True):
-    """Record what became of a claimed call; the shell adds the answer where it is DONE."""
+    """Record the outcome of a claimed call; the shell adds the answer if it is DONE."""
 
     call: CallId
     outcome: ClaimOutcome
 
 
 class StartAttempt(Effect, frozen=True, kw_only=True):
-    """Send a request to a target; answer by FirstTokenArrived, TokensArrived, AttemptEnded.
+    """Send a request to a target; the shell answers FirstTokenArrived, TokensArrived, AttemptEnded.
 
-    While two attempts of a call run, the shell relays only that whose first token came first; the
-    reducer cancels the other one when it hears of that token.
+    While a call has two attempts, the shell relays only the one whose first token arrived first.
+    The reducer cancels the other one when it receives that event.
 
     Attributes:
-        targets: The target; several engines where the prompt is larger than one's memory.
-        priority: Smaller runs first.
+        targets: The target; several engines if the prompt is larger than the memory of one.
+        priority: Smaller values run first.
         resume_from: Output tokens that the caller has already.
-        timeout: Seconds that the request has left.
-        reserved: Tokens of memory to be set aside at each target before it is sent, or nothing.
-        first_token: Predicted seconds to the first token, or zero where there is no prediction.
-        accounts: Peers whose sends the choice knew of.
-        first_patience: Seconds without any output after which `AttemptSilent` is told.
-        gap_patience: Seconds without further output after which it is told.
-        held_back: Targets that were left aside, as their limits permitted no more.
+        timeout: Seconds until the deadline of the request.
+        reserved: Tokens of memory to reserve at each target before the request is sent; empty for
+            no reservation.
+        first_token: Predicted seconds to the first token, or zero if there is no prediction.
+        known_peers: Number of peers whose sends were known when the target was chosen.
+        first_output_timeout: Seconds without any output before the shell sends `AttemptSilent`.
+        output_gap_timeout: Seconds without further output before it sends that.
+        held_back: Number of targets that were excluded because of their rate limits.
     """
 
     call: CallId
@@ -62,14 +63,14 @@
     timeout: float
     reserved: tuple[int, ...] = ()
     first_token: float = 0.0
-    accounts: int = 0
+    known_peers: int = 0
     first_output_timeout: float = inf
     output_gap_timeout: float = inf
     held_back: int = 0
 
 
 class CancelAttempt(Effect, frozen=True, kw_only=True):
-    """Stop an attempt and free what it holds; the shell answers by AttemptEnded CANCELLED."""
+    """Cancel an attempt and release its resources; the shell answers AttemptEnded CANCELLED."""
 
     call: CallId
     attempt: int
@@ -86,7 +87,10 @@
 
 
 class FinishCall(Effect, frozen=True, kw_only=True):
-    """End the caller's answer: whole, or recorded of an earlier call, where ``error`` is None."""
+    """End the caller's answer.
+
+    Without an ``error`` the answer is complete, or is that recorded for an earlier call.
+    """
 
     call: CallId
     error: AzureswitchError | None
@@ -97,10 +101,10 @@
 
     Attributes:
         digest: The digest.
-        regular: Whether it tells nothing new, but what may have been lost before.
-        places: The failure domains whose hosts are to hear it, or None for all.
-        may_wait: Whether it tells of nothing but sends that have ended or whose prompt is read, so
-            that the others may hear of it a moment later.
+        regular: Whether it is the periodic digest, which repeats what peers may have missed.
+        places: The failure domains whose hosts receive it, or None for all.
+        may_wait: Whether it may be delayed for a moment, as it reports nothing but attempts that
+            have ended or whose prefill is done.
     """
 
     digest: Digest
@@ -110,17 +114,17 @@
 
 
 class PublishTotals(Effect, frozen=True, kw_only=True):
-    """Tell any one host of another failure domain what all have at the targets of this one."""
+    """Send the total load at the targets of this failure domain to any one host of another."""
 
     totals: DomainTotals
 
 
 class AskPermit(Effect, frozen=True, kw_only=True):
-    """Ask a host for a permit to send to a target; answer by `PermitAnswered`, or never.
+    """Request a permit to send to a target; `PermitAnswered` follows unless a message is lost.
 
     Attributes:
-        owner: The host.
-        report: What is known here of the target's limit.
+        owner: The host that issues the target's permits.
+        report: What this host knows about the target's limit.
     """
 
     owner: HostName
@@ -128,13 +132,13 @@
 
 
 class AnswerPermit(Effect, frozen=True, kw_only=True):
-    """Answer a host that asked for a permit; the answer may be lost.
+    """Answer a host that requested a permit; the answer may be lost.
 
     Attributes:
         host: The host.
         target: The target.
-        grant: The answer.
-        report: What is known here of the target's limit, or None for nothing.
+        grant: The permit, or when to ask again.
+        report: What this host knows about the target's limit, or None for nothing.
     """
 
     host: HostName
@@ -144,12 +148,12 @@
 
 
 class AnnounceLimit(Effect, frozen=True, kw_only=True):
-    """Tell operators that a target names another limit than before, or none any more.
+    """Log for operators that a target changed its announced rate limit or announces none now.
 
     Attributes:
-        change: What has changed.
-        text: What the target said to this host, or None where a peer told it.
-        readable: Whether that is a number.
+        change: The change.
+        text: The announcement as this host received it, or None if a peer reported it.
+        readable: Whether the announcement could be parsed.
     """
 
     change: LimitChange
@@ -158,13 +162,13 @@
 
 
 class AnnounceQuarantine(Effect, frozen=True, kw_only=True):
-    """Tell operators that a request is held back from now on, or not any more."""
+    """Log for operators that a request was quarantined or is no longer quarantined."""
 
     change: QuarantineChange
 
 
 class Observation(Enum):
-    """What a metric counts or measures."""
+    """The quantity that a metric counts or measures."""
 
     ADMITTED = "admitted"
     REFUSED = "refused"
@@ -181,9 +185,9 @@
 
     Attributes:
         what: The metric.
-        customer: The label for the customer.
-        prompt_tokens: For the label of the length bucket.
-        value: One for counts; seconds or a ratio for measures.
+        customer: The customer, for the metric's label.
+        prompt_tokens: Tokens of the prompt, for the label of its length bucket.
+        value: One for counters; else the measured seconds or ratio.
     """
 
     what: Observation
--- a/src/azureswitch/serving/_events.py
+++ b/src/azureswitch/serving/_events.py
@@ -1,4 +1,4 @@
-"""What can happen to requests and targets."""
+"""Events of the serving reducer, and the call and host that they refer to."""
 
 from enum import Enum
 
@@ -19,31 +19,32 @@
 from azureswitch.serving._digests import CrashReport, Digest, DomainTotals, Grant, LimitReport
 
 MAX_RUNS = 9
-"""Targets that may run a call where nothing else is said: a first one and eight retries."""
+"""Default upper bound of the targets that may run a call: the first one and eight retries."""
 
 
 class Call(Struct, frozen=True, kw_only=True):
-    """One caller's request, read and authenticated.
+    """One caller's request, parsed and authenticated.
 
     Attributes:
-        id: The request id, unique over the fleet.
-        customer: Who sent it.
-        service: The service asked for.
-        model: The model asked for; empty for plain services.
+        id: The request id, unique in the fleet.
+        customer: The customer that sent it.
+        service: The requested service.
+        model: The requested model; empty for plain services.
         prompt_tokens: Estimated tokens of the prompt; zero for plain services.
-        output_tokens: The most output tokens asked for; zero for plain services.
+        output_tokens: Upper bound of the requested output tokens; zero for plain services.
         prefix: Hashes of the prompt's leading blocks, salted per customer, longest last.
         deadline: When it must have finished, on the host's monotonic clock.
         repeatable: Whether it may be sent again although it may have run.
         idempotency_key: The caller's key, or None.
-        fingerprint: Digest of method, path and body, the same for each try at the same request;
-            empty where it is not known.
+        fingerprint: Digest of method, path and body, the same each time that the caller sends the
+            request; empty if unknown.
         offset: Output tokens that the caller has already.
-        objective: Seconds to the first output within which the answer is on time; zero for none.
-        gap_objective: Seconds between two outputs within which it stays so; zero for none.
-        runs: Targets that may run it, at most.
-        cancellable: Whether it is called off when its caller leaves, though it must not run again.
-        unshared: Whether no other host can be sent the same call, so that no claim is needed.
+        objective: Objective for the time to the first output, in seconds; zero for none.
+        gap_objective: Objective for the time between two outputs, in seconds; zero for none.
+        runs: Upper bound of the targets that may run it.
+        cancellable: Whether it is cancelled when its caller disconnects, even if it must not run
+            again.
+        unshared: Whether no other host can receive the same call, so that no claim is needed.
     """
 
     id: CallId
@@ -80,41 +81,41 @@
 
 
 class _CallEvent(ServingEvent, frozen=True, kw_only=True):
-    """Base of the events of one call that tell no more."""
+    """Base of the events that carry only their call."""
 
     call: CallId
 
 
 class _AttemptEvent(ServingEvent, frozen=True, kw_only=True):
-    """Base of the events of one attempt that tell no more."""
+    """Base of the events that carry only their attempt."""
 
     call: CallId
     attempt: int
 
 
 class CallArrived(ServingEvent, frozen=True, kw_only=True):
-    """A caller sent a request."""
+    """A request arrived."""
 
     call: Call
 
 
 class CallerLeft(_CallEvent, frozen=True):
-    """The caller closed its connection before the end."""
+    """The caller closed its connection before it had the whole answer."""
 
 
 class ClaimGranted(_CallEvent, frozen=True):
-    """A non-idempotent call may be sent, once, by this host."""
+    """This host may send a non-idempotent call, once."""
 
 
 class ClaimDenied(ServingEvent, frozen=True, kw_only=True):
-    """A non-idempotent call must not be sent; ``error`` is the caller's answer."""
+    """This host must not send a non-idempotent call; ``error`` is the caller's answer."""
 
     call: CallId
     error: AzureswitchError
 
 
 class ClaimReplayed(_CallEvent, frozen=True):
-    """The first call with this key has ended; the shell gives its recorded answer again."""
+    """An earlier call with the same key has ended; the shell replays its recorded answer."""
 
 
 class FirstTokenArrived(_AttemptEvent, frozen=True):
@@ -122,7 +123,7 @@
 
 
 class TokensArrived(ServingEvent, frozen=True, kw_only=True):
-    """An attempt delivered more output; sent at most a few times a second per attempt.
+    """An attempt delivered more output; sent at most a few times a second for each attempt.
 
     Attributes:
         tokens: Output tokens of the whole request so far.
@@ -134,15 +135,17 @@
 
 
 class AttemptEnded(ServingEvent, frozen=True, kw_only=True):
-    """An attempt is over.
+    """An attempt has ended.
 
     Attributes:
         end: How it ended.
         tokens: Output tokens of the whole request that reached the caller.
-        cached_tokens: Prompt tokens that the engine found in its cache, where it says so.
-        retry_after: Seconds after which the target may take the request, where it says so.
+        cached_tokens: Prompt tokens that the engine found in its cache, or zero if it does not
+            report them.
+        retry_after: Seconds after which the target may accept the request, or None if it does not
+            say.
         error: The failure, for every end but COMPLETE.
-        at_fault: Of several targets the one that failed, where that is known.
+        at_fault: The target that failed, for an attempt at several, or None if unknown.
     """
 
     call: CallId
@@ -156,18 +159,18 @@
 
 
 class AttemptSilent(_AttemptEvent, frozen=True):
-    """An attempt's target has written nothing for as long as it is waited for."""
+    """An attempt's target has sent no output within the silence timeout."""
 
 
 class LoadReported(ServingEvent, frozen=True, kw_only=True):
-    """A load report arrived, polled here or passed on by a peer."""
+    """A load report arrived, from a poll of this host or forwarded by a peer."""
 
     report: LoadReport
     age: float = 0.0
 
 
 class CacheReported(ServingEvent, frozen=True, kw_only=True):
-    """Cache events arrived, late and perhaps with gaps."""
+    """Cache events of an engine arrived; they are delayed, and some may be missing."""
 
     events: CacheEvents
 
@@ -179,11 +182,11 @@
 
 
 class TargetLeaving(ServingEvent, frozen=True, kw_only=True):
-    """A target said in an answer that it leaves.
+    """A target announced in an answer that it is draining.
 
     Attributes:
         target: The target.
-        started: Its start, or zero where it does not tell.
+        started: When it started, as it reports it, or zero if it does not.
     """
 
     target: TargetName
@@ -191,13 +194,13 @@
 
 
 class LimitNamed(ServingEvent, frozen=True, kw_only=True):
-    """A target said in an answer how many requests it takes from all hosts together.
+    """A target announced in an answer the rate of requests that it accepts from all hosts.
 
     Attributes:
         target: The target.
-        started: Its start, or zero where it does not tell.
-        rate: Requests a second, or None where what it said is no such number.
-        text: What it said.
+        started: When it started, as it reports it, or zero if it does not.
+        rate: Requests a second, or None if the announcement cannot be parsed.
+        text: The announcement as it was received.
     """
 
     target: TargetName
@@ -207,11 +210,11 @@
 
 
 class LimitUnnamed(ServingEvent, frozen=True, kw_only=True):
-    """A target that had named a limit answered a request that it ran without one.
+    """A target that had announced a limit answered a request, which it ran, without one.
 
     Attributes:
         target: The target.
-        started: Its start, or zero where it does not tell.
+        started: When it started, as it reports it, or zero if it does not.
         sent: When the request was sent to it.
     """
 
@@ -221,11 +224,11 @@
 
 
 class PermitAsked(ServingEvent, frozen=True, kw_only=True):
-    """A peer asks for a permit to send to a target whose permits this host hands out.
+    """A peer requested a permit to send to a target whose permits this host issues.
 
     Attributes:
         host: The peer.
-        report: What the peer knows of the target's limit.
+        report: What the peer knows about the target's limit.
     """
 
     host: HostName
@@ -233,12 +236,12 @@
 
 
 class PermitAnswered(ServingEvent, frozen=True, kw_only=True):
-    """The host that hands out the permits of a target gave one, or said when to ask again.
+    """The host that issues the permits of a target answered a request for one.
 
     Attributes:
         target: The target.
-        grant: What it said.
-        report: What it knows of the target's limit, or None for nothing.
+        grant: The permit, or when to ask again.
+        report: What the issuing host knows about the target's limit, or None for nothing.
     """
 
     target: TargetName
@@ -247,7 +250,7 @@
 
 
 class TotalsReceived(ServingEvent, frozen=True, kw_only=True):
-    """A host of another failure domain told what all have at its targets."""
+    """The total load at the targets of another failure domain arrived from one of its hosts."""
 
     totals: DomainTotals
 
@@ -259,7 +262,10 @@
 
 
 class CrashesRecalled(ServingEvent, frozen=True, kw_only=True):
-    """The store holds what hosts, perhaps all dead since, knew of requests that crash targets."""
+    """Reports of requests that crash targets were read from the store.
+
+    The hosts that wrote them may all have failed since.
+    """
 
     reports: tuple[CrashReport, ...]
 
@@ -269,8 +275,9 @@
 
     Attributes:
         hosts: The live hosts.
-        fleet_size: How many hosts share what the fleet permits, or None for as many as live.  One
-            that is taken for dead may only be cut off from this host, and use its share.
+        fleet_size: How many hosts share the fleet's budgets, or None for as many as are live.  It
+            counts hosts that are considered dead, as one that is only partitioned from this host
+            still uses its share.
     """
 
     hosts: tuple[HostName, ...]
@@ -284,31 +291,31 @@
 
 
 class ShutdownBegan(ServingEvent, frozen=True, kw_only=True):
-    """This host is about to stop: it begins nothing more that cannot end in time.
+    """This host began to shut down, and starts no work that cannot finish in time.
 
     Attributes:
-        until: When what is open is ended, in seconds of the monotonic clock, or None where no new
-            work is taken at all and what is open goes on.
+        until: When the open calls are ended, in seconds of the monotonic clock, or None if this
+            host drains: it takes no new calls, and open ones continue until they are done.
     """
 
     until: float | None = None
 
 
 class GraceEnded(ServingEvent, frozen=True, kw_only=True):
-    """This host stops now: each call that is open gets its final answer."""
+    """The grace period of the shutdown ended: each open call gets its final answer now."""
 
 
 class Ticked(ServingEvent, frozen=True, kw_only=True):
-    """Time passed; sent every `azureswitch.serving.TICK_SECONDS` seconds."""
+    """Time passed; dispatched every `azureswitch.serving.TICK_SECONDS` seconds."""
 
 
 class HostSelf(Struct, frozen=True, kw_only=True):
-    """Who this host is.
+    """The identity of this host.
 
     Attributes:
         name: Its name.
         place: Its failure domain.
-        started: Start of this incarnation, in milliseconds of the wall clock.
+        started: When this incarnation started, in milliseconds of the wall clock.
     """
 
     name: HostName
