--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -1,4 +1,4 @@
-"""The life of a call's attempts, from the first try to the one final answer."""
+"""Attempts of a call: queueing, starting, hedging, retrying and completing them."""
 
 from functools import partial
 
@@ -43,36 +43,37 @@
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState, TimerKind
 from azureswitch.serving._termination import end_quarantined, give_up
 
-BLOCK_SECONDS = {Level.SHORT: 0.02, Level.MIDDLE: 0.1, Level.LONG: 0.25}
-"""Seconds for which a lane is not looked at again once no target had room for it."""
+LANE_RECHECK_SECONDS = {Level.SHORT: 0.02, Level.MIDDLE: 0.1, Level.LONG: 0.25}
+"""Seconds before a lane is drained again after no target had room for its calls."""
 
-PERMIT_CREDIT = 4
-"""Calls by which a customer that sends few may go before one that sends many, for a permit.
+PERMIT_CREDIT_CALLS = 4
+"""Calls' worth of service that a customer with little traffic is credited when permits are short.
 
-What waits for one is refused soon, so that its turn would be lost each time.
+A call that waits for a permit is refused after a short time, so that such a customer would else
+lose its turn in the queue each time.
 """
 
-AT_ONCE_SECONDS = 0.001
-"""A target that answers sooner than this had the answer, so that it tells nothing of costs."""
+MIN_COST_SAMPLE_SECONDS = 0.001
+"""Lower bound of first token times used as cost samples; faster answers were cached."""
 
 
 def lane_of(record: CallRecord) -> Lane:
-    """Return the queue that a call waits in."""
+    """Return the lane of the queue that a call waits in."""
     return lane_for(record.call, record.level)
 
 
 def dispatch(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """Send a call to a target, or let it wait for one that has room."""
+    """Send a call to a target, or queue it until one has room."""
     if state.crashes.seconds_left(record.call, now=now):
         return end_quarantined(state, record, now=now)
     lane = lane_of(record)
-    others = any(True for _ in state.queue.customers(lane))
-    choice = None if others else choose(state, record, now=now)
+    lane_in_use = any(True for _ in state.queue.customers(lane))
+    choice = None if lane_in_use else choose(state, record, now=now)
     if choice is not None:
-        return start(state, record, choice, now=now)
+        return start_attempt(state, record, choice, now=now)
     floor = min((state.fairness.served(n) for n in state.queue.customers(lane)), default=0.0)
     if all_limited(state, record.pool, now=now):
-        floor -= PERMIT_CREDIT * record.cost.total
+        floor -= PERMIT_CREDIT_CALLS * record.cost.total
     state.fairness.lift(record.call.customer, floor)
     record.phase = Phase.WAITING
     if record.call.unshared:
@@ -85,19 +86,20 @@
         seconds=record.cost.total,
         first=record.attempt_count > 0,
     )
-    return drain(state, lane, now=now) if others else []
+    return drain(state, lane, now=now) if lane_in_use else []
 
 
 def drain(state: ServingState, lane: Lane, *, now: float) -> list[Effect]:
-    """Send waiting calls while targets have room, the least served customer's first.
+    """Send the waiting calls of a lane while targets have room, least served customer first.
 
-    A lane without room is not looked at again for a while, so that many events cost little.
+    Once no target has room, the lane is blocked for `LANE_RECHECK_SECONDS`, so that frequent events
+    do not each scan it.
     """
     effects: list[Effect] = []
     while state.queue.open(lane, now=now):
         started = _start_next(state, lane, now=now)
         if not started:
-            state.queue.block(lane, until=now + BLOCK_SECONDS[lane.level])
+            state.queue.block(lane, until=now + LANE_RECHECK_SECONDS[lane.level])
         effects += started
     return effects
 
@@ -116,25 +118,27 @@
     if choice is None:
         return []
     state.queue.remove(record.call.id)
-    return start(state, record, choice, now=now)
+    return start_attempt(state, record, choice, now=now)
 
 
 def drain_all(state: ServingState, *, now: float) -> list[Effect]:
-    """Send waiting calls of every lane, and none of one where that fails."""
+    """Send the waiting calls of all lanes; an exception in one lane is logged and skips it."""
     return [
         effect
         for lane in state.queue.lanes
-        for effect in run_isolated(partial(drain, state, lane, now=now), name="The queue")
+        for effect in run_isolated(partial(drain, state, lane, now=now), name="Draining the queue")
     ]
 
 
-def start(state: ServingState, record: CallRecord, choice: Choice, *, now: float) -> list[Effect]:
+def start_attempt(
+    state: ServingState, record: CallRecord, choice: Choice, *, now: float
+) -> list[Effect]:
     """Start the next attempt of a call."""
     call = record.call
     record.attempt_count += 1
     record.phase = Phase.RUNNING
     prefill = record.cost.prefill
-    level = priority(
+    attempt_priority = priority(
         call,
         state.rules,
         prefill=prefill,
@@ -147,7 +151,7 @@
         started=now,
         work=choice.work,
         cached_tokens=choice.cached_tokens,
-        priority=level,
+        priority=attempt_priority,
         alone=not choice.wait and not choice.running and len(choice.targets) == 1,
         start=state.starts.of(choice.targets[0]),
     )
@@ -163,28 +167,30 @@
         state.affinity.sent(target, call.prefix)
         state.permits.take(target, now=now)
     if call.model and record.pool.pace is None:
-        _set_ageing(state, record, attempt, now=now)
-        _set_hedge(state, record, choice, now=now)
-    silence = silence_timeouts(call, first_token=choice.first_token)
+        _set_aging_timer(state, record, attempt, now=now)
+        _set_hedge_timer(state, record, choice, now=now)
+    timeouts = silence_timeouts(call, first_token=choice.first_token)
     return [
         StartAttempt(
             call=call.id,
             attempt=attempt.number,
             targets=choice.targets,
-            priority=level,
+            priority=attempt_priority,
             resume_from=record.tokens,
             timeout=max(0.0, call.deadline - now),
             reserved=choice.reserved,
             first_token=choice.first_token,
             known_peers=state.ledger.accounts,
-            first_output_timeout=silence.first,
-            output_gap_timeout=silence.gap,
+            first_output_timeout=timeouts.first,
+            output_gap_timeout=timeouts.gap,
             held_back=held_back,
         )
     ]
 
 
-def _set_ageing(state: ServingState, record: CallRecord, attempt: Attempt, *, now: float) -> None:
+def _set_aging_timer(
+    state: ServingState, record: CallRecord, attempt: Attempt, *, now: float
+) -> None:
     state.timers.set(
         at=now + ageing_period(record.cost.prefill),
         kind=TimerKind.AGE,
@@ -193,8 +199,10 @@
     )
 
 
-def _set_hedge(state: ServingState, record: CallRecord, choice: Choice, *, now: float) -> None:
-    """Hedge the first attempt at a short prompt, where its target stays silent for long."""
+def _set_hedge_timer(
+    state: ServingState, record: CallRecord, choice: Choice, *, now: float
+) -> None:
+    """Schedule a hedge for the first attempt at a short prompt."""
     if record.level is not Level.SHORT or record.attempt_count > 1:
         return
     expected = choice.wait + choice.work.seconds * max(1.0, record.cost.stretch)
@@ -204,7 +212,7 @@
 
 
 def hedge(state: ServingState, record: CallRecord, number: int, *, now: float) -> list[Effect]:
-    """Start a second attempt beside a silent one, where another target has room at once."""
+    """Start a second attempt beside one without output, if another target has room at once."""
     silent = record.attempts.get(number)
     if silent is None or len(record.attempts) > 1 or record.first_token is not None:
         return []
@@ -217,35 +225,37 @@
         return []
     if not state.retries.take(HEDGE_COST):
         return []
-    return [observe(record, Observation.HEDGED), *start(state, record, choice, now=now)]
+    return [observe(record, Observation.HEDGED), *start_attempt(state, record, choice, now=now)]
 
 
 def age(state: ServingState, record: CallRecord, number: int, *, now: float) -> list[Effect]:
-    """Raise the priority of an attempt that has waited long for its first token."""
+    """Update the priority of an attempt that still waits for its first token."""
     attempt = record.attempts.get(number)
     if attempt is None or attempt.first_token is not None:
         return []
-    _set_ageing(state, record, attempt, now=now)
-    level = priority(
+    _set_aging_timer(state, record, attempt, now=now)
+    attempt_priority = priority(
         record.call,
         state.rules,
         prefill=record.cost.prefill,
         waited=now - record.arrived,
         demoted=state.fairness.exceeds(record.call.customer, now=now),
     )
-    if level == attempt.priority:
+    if attempt_priority == attempt.priority:
         return []
-    attempt.priority = level
+    attempt.priority = attempt_priority
     return [
-        PrioritizeAttempt(call=record.call.id, attempt=number, target=name, priority=level)
+        PrioritizeAttempt(
+            call=record.call.id, attempt=number, target=name, priority=attempt_priority
+        )
         for name in attempt.targets
     ]
 
 
-def first_token(
+def record_first_token(
     state: ServingState, record: CallRecord, number: int, *, now: float
 ) -> list[Effect]:
-    """Note the first token of an attempt; it ends the others, started as a hedge."""
+    """Record the first token of an attempt, and cancel the call's other, hedged attempts."""
     attempt = record.attempts.get(number)
     if attempt is None or attempt.first_token is not None:
         return []
@@ -254,7 +264,7 @@
     state.ledger.read(call=record.call.id, attempt=number)
     effects = cancel_others(state, record, keep=number)
     alone = attempt.alone and not attempt.restarted
-    if alone and now - attempt.started > AT_ONCE_SECONDS:
+    if alone and now - attempt.started > MIN_COST_SAMPLE_SECONDS:
         state.costs.observe_first_token(
             call=record.call,
             target=attempt.targets[0],
@@ -278,15 +288,17 @@
     return effects
 
 
-def progress(record: CallRecord, event: TokensArrived) -> None:
-    """Note how much output a call has."""
+def record_progress(record: CallRecord, event: TokensArrived) -> None:
+    """Record how many output tokens a call has."""
     if event.attempt in record.attempts:
         record.tokens = max(record.tokens, event.tokens)
 
 
-def ended(state: ServingState, record: CallRecord, event: AttemptEnded) -> list[Effect]:
-    """Act on the end of an attempt: finish the call or try again."""
-    # An attempt that was called off also tells how far the answer has come.
+def handle_attempt_end(
+    state: ServingState, record: CallRecord, event: AttemptEnded
+) -> list[Effect]:
+    """Finish or retry a call after one of its attempts has ended."""
+    # A cancelled attempt, no longer in the record, also reports how many tokens the caller has.
     record.tokens = max(record.tokens, event.tokens)
     attempt = record.attempts.pop(event.attempt, None)
     if attempt is None:
@@ -316,7 +328,7 @@
 
 
 def _correct_charge(state: ServingState, record: CallRecord, event: AttemptEnded) -> None:
-    """Charge the customer for what the call took in place of what was predicted."""
+    """Replace the predicted cost that the customer was charged with the actual cost."""
     call = record.call
     if not call.model:
         return
@@ -344,7 +356,7 @@
     refused = event.end is AttemptEnd.REFUSED
     record.may_have_run = record.may_have_run or not refused
     record.run_count += 0 if refused else 1
-    _blame(state, record, attempt, event)
+    _record_failure(state, record, attempt, event)
     if isinstance(event.error, TargetBrokenError):
         start = TargetStart(target=attempt.targets[0], started=attempt.start)
         state.crashes.broke_off(record.call, start, now=now)
@@ -356,16 +368,17 @@
     return retry(state, record, now=now)
 
 
-def _blame(
+def _record_failure(
     state: ServingState,
     record: CallRecord,
     attempt: Attempt,
     event: AttemptEnded,
 ) -> None:
-    """Keep a target that failed out of use; one that is merely full says when to come back.
+    """Eject the target of a failed attempt, or back off from it as long as it asked for.
 
-    Of several the one that is said to be at fault is meant, and else the first, which answers.  The
-    failure of a start that is over says nothing of the one that runs now.
+    Of several targets this concerns the one reported at fault, or else the first one, which sends
+    the answer.  Nothing is recorded for a target that has restarted since, as the failure was that
+    of its previous start.
     """
     if len(attempt.targets) > 1 and record.pool.pace is None:
         return
@@ -380,36 +393,36 @@
 
 
 def mark_failed(state: ServingState, record: CallRecord, target: TargetName, *, now: float) -> None:
-    """Keep a target that failed out of use for a while, and this call away from it."""
+    """Eject a failed target for a while, and exclude it from further attempts at this call."""
     record.failed.add(target)
-    longest = PACED_EJECT_MOST if record.call.unshared else EJECT_MOST
-    state.fleet.failed(target, now=now, longest=longest)
+    max_ejection = PACED_EJECT_MOST if record.call.unshared else EJECT_MOST
+    state.fleet.failed(target, now=now, longest=max_ejection)
 
 
 def retry(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """Try a call again after a pause, or give it up at once where no retry is permitted."""
+    """Retry a call after its backoff, or end it at once if no retry is permitted."""
     if state.crashes.seconds_left(record.call, now=now):
         return end_quarantined(state, record, now=now)
     record.retry_count += 1
-    pause = _pause(state, record)
-    in_time = now + pause < state.ends_by(record.call)
+    delay = _retry_delay(state, record)
+    in_time = now + delay < state.ends_by(record.call)
     more_runs = record.run_count < record.call.runs
     permitted = record.retry_count <= MAX_RETRIES and in_time and more_runs
     if not permitted or not state.retries.take():
         return give_up(state, record, now=now)
     retried = observe(record, Observation.RETRIED)
-    if not pause:
+    if not delay:
         return [retried, *dispatch(state, record, now=now)]
     record.phase = Phase.BACKING_OFF
-    state.timers.set(at=now + pause, kind=TimerKind.RETRY, call=record.call.id)
+    state.timers.set(at=now + delay, kind=TimerKind.RETRY, call=record.call.id)
     return [retried]
 
 
-def _pause(state: ServingState, record: CallRecord) -> float:
-    """Return the seconds before a retry.
+def _retry_delay(state: ServingState, record: CallRecord) -> float:
+    """Return the seconds to wait before the next retry.
 
-    The first one of a call that has an objective goes to another target at once: a pause of 25 to
-    100 ms is more than such calls, and pauses in streams, can spare.
+    The first retry of a call with an objective is sent at once: a backoff of 25 to 100 ms is too
+    long for its time to first output and for the gaps in its stream.
     """
     if record.retry_count == 1 and record.call.objective:
         return 0.0
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -1,4 +1,4 @@
-"""The one reducer of serving: every event of calls and targets to its effects."""
+"""The serving reducer, which maps each event of calls, targets and hosts to its effects."""
 
 from functools import partial, singledispatch
 
@@ -11,10 +11,10 @@
     age,
     dispatch,
     drain_all,
-    ended,
-    first_token,
+    handle_attempt_end,
     hedge,
-    progress,
+    record_first_token,
+    record_progress,
 )
 from azureswitch.serving._digests import Digest
 from azureswitch.serving._effects import (
@@ -88,21 +88,24 @@
         event: What happened.
 
     Returns:
-        What the shell must do, in order.
+        The effects that the shell must execute, in order.
     """
     effects = _apply(event, state)
     if state.crashes.touched:
         effects += run_isolated(
-            partial(_begin_quarantines, state, now=event.now), name="A quarantine"
+            partial(_begin_quarantines, state, now=event.now), name="Starting quarantines"
         )
     effects += asks(state, now=event.now)
     if state.ledger.changed or state.crashes.changed or state.limits.news:
-        effects = [*effects, *run_isolated(partial(tell, state, now=event.now), name="A digest")]
+        effects = [
+            *effects,
+            *run_isolated(partial(tell, state, now=event.now), name="Publishing a digest"),
+        ]
     return tuple(effects) or NO_EFFECTS
 
 
 def _begin_quarantines(state: ServingState, *, now: float) -> list[Effect]:
-    """Tell of requests that are held back from now on, and end the calls that wait to be sent."""
+    """Announce changed quarantines, and end quarantined calls that wait to be sent."""
     changes = state.crashes.look(now=now)
     if not changes:
         return []
@@ -143,7 +146,7 @@
 
 def _admit(state: ServingState, call: Call, *, now: float) -> list[Effect]:
     pool = state.fleet.pool(service=call.service, model=call.model)
-    assert pool is not None  # A call without targets was refused.
+    assert pool is not None  # refusal() rejects calls without targets.
     cost = expected_cost(state, call, pool)
     level = level_of(call, state.rules)
     record = CallRecord(
@@ -191,18 +194,18 @@
 
 @_apply.register
 def _(event: ClaimDenied, state: ServingState) -> list[Effect]:
-    return _without_claim(state, event.call, error=event.error, now=event.now)
+    return _finish_unclaimed(state, event.call, error=event.error, now=event.now)
 
 
 @_apply.register
 def _(event: ClaimReplayed, state: ServingState) -> list[Effect]:
-    return _without_claim(state, event.call, error=None, now=event.now)
+    return _finish_unclaimed(state, event.call, error=None, now=event.now)
 
 
-def _without_claim(
+def _finish_unclaimed(
     state: ServingState, call: CallId, *, error: AzureswitchError | None, now: float
 ) -> list[Effect]:
-    """Finish a call that this host must not send."""
+    """Finish a call whose claim was denied or replayed."""
     record = state.calls.get(call)
     if record is None or record.phase is not Phase.CLAIMING:
         state.take_abandoned_claim(call)
@@ -216,9 +219,9 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    wanted = not (record.call.repeatable or record.call.cancellable)
-    if wanted and record.attempts:
-        # The outcome is still wanted: the caller may ask for it with the same key.
+    outcome_wanted = not (record.call.repeatable or record.call.cancellable)
+    if outcome_wanted and record.attempts:
+        # The caller may still ask for the outcome with the same idempotency key.
         return []
     ran = record.may_have_run or bool(record.attempts)
     outcome = ClaimOutcome.UNKNOWN if ran else ClaimOutcome.NOT_RUN
@@ -234,7 +237,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    step = partial(first_token, state, record, event.attempt, now=event.now)
+    step = partial(record_first_token, state, record, event.attempt, now=event.now)
     return run_step(state, record, step, now=event.now)
 
 
@@ -242,7 +245,7 @@
 def _(event: TokensArrived, state: ServingState) -> list[Effect]:
     record = state.calls.get(event.call)
     if record is not None:
-        progress(record, event)
+        record_progress(record, event)
     return []
 
 
@@ -260,7 +263,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    return run_step(state, record, partial(ended, state, record, event), now=event.now)
+    return run_step(state, record, partial(handle_attempt_end, state, record, event), now=event.now)
 
 
 # --- Targets --------------------------------------------------------------------------------------
@@ -268,8 +271,8 @@
 
 @_apply.register
 def _(event: LoadReported, state: ServingState) -> list[Effect]:
-    stuck = state.fleet.report(event.report, now=event.now, age=event.age)
-    if stuck < STUCK_SECONDS:
+    stuck_seconds = state.fleet.report(event.report, now=event.now, age=event.age)
+    if stuck_seconds < STUCK_SECONDS:
         return []
     return withdraw(state, event.report.target, now=event.now)
 
@@ -283,8 +286,8 @@
 
 @_apply.register
 def _(event: TargetUnreachable, state: ServingState) -> list[Effect]:
-    silent = state.fleet.unreachable(event.target, now=event.now)
-    return lose(state, event.target, now=event.now) if silent >= LOST_SECONDS else []
+    silent_seconds = state.fleet.unreachable(event.target, now=event.now)
+    return lose(state, event.target, now=event.now) if silent_seconds >= LOST_SECONDS else []
 
 
 @_apply.register
@@ -319,7 +322,7 @@
 @_apply.register
 def _(event: DigestReceived, state: ServingState) -> list[Effect]:
     if event.digest.host != state.myself.name and state.fairness.hear(event.digest, now=event.now):
-        state.fleet.hear(_of_known_starts(state, event.digest), now=event.now)
+        state.fleet.hear(_without_mismatched_starts(state, event.digest), now=event.now)
         state.split.hear(event.digest, now=event.now)
         state.ledger.hear(
             host=event.digest.host,
@@ -345,20 +348,20 @@
     return []
 
 
-def _of_known_starts(state: ServingState, digest: Digest) -> Digest:
-    """Return a digest without what it says of other starts of targets than are known here.
+def _without_mismatched_starts(state: ServingState, digest: Digest) -> Digest:
+    """Return a digest without its reports on targets whose start differs from the one known here.
 
-    What is believed by it lasts for 2 s at most and is told again each second; the ledger, which is
-    told only as it changes, sorts its own.
+    Dropping them is safe, as these parts are valid for 2 s at most and repeated each second.  The
+    occupancies are sent only when they change; the ledger matches them to starts itself.
     """
-    ended = state.starts.ended(digest.starts)
-    if not ended:
+    mismatched = state.starts.ended(digest.starts)
+    if not mismatched:
         return digest
     return replace(
         digest,
-        loads=tuple(load for load in digest.loads if load.target not in ended),
-        suspects=tuple(name for name in digest.suspects if name not in ended),
-        saved=tuple(name for name in digest.saved if name not in ended),
+        loads=tuple(load for load in digest.loads if load.target not in mismatched),
+        suspects=tuple(name for name in digest.suspects if name not in mismatched),
+        saved=tuple(name for name in digest.saved if name not in mismatched),
     )
 
 
@@ -393,8 +396,8 @@
 
 @_apply.register
 def _(event: GraceEnded, state: ServingState) -> list[Effect]:
-    # Decided here for every call: were it left to the end of the process, an attempt that is called
-    # off by it would look like one that failed, and be begun again.
+    # Every call is ended here.  Otherwise the exit of the process would cancel its attempts, which
+    # would look like failures and be retried.
     state.leave(now=event.now, until=event.now)
     return [
         effect
@@ -419,15 +422,17 @@
     for timer in state.timers.due(now):
         record = state.calls.get(timer.call)
         if record is not None:
-            step = partial(_fire, state, record, timer, now=now)
+            step = partial(_handle_timer, state, record, timer, now=now)
             final = timer.kind is TimerKind.DEADLINE
             effects += run_step(state, record, step, now=now, final=final)
-    effects += run_isolated(partial(drain_all, state, now=now), name="The queue")
+    effects += run_isolated(partial(drain_all, state, now=now), name="Draining the queue")
     effects += run_isolated(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
-        effects += run_isolated(partial(tell, state, regular=True, now=now), name="A digest")
-        effects += run_isolated(partial(tell_totals, state), name="The totals")
-        effects += run_isolated(partial(_expire_slowly, state, now=now), name="Forgetting")
+        effects += run_isolated(
+            partial(tell, state, regular=True, now=now), name="Publishing a digest"
+        )
+        effects += run_isolated(partial(tell_totals, state), name="Publishing the totals")
+        effects += run_isolated(partial(_expire_long_lived, state, now=now), name="Forgetting")
     return effects
 
 
@@ -437,15 +442,17 @@
     return []
 
 
-def _expire_slowly(state: ServingState, *, now: float) -> list[Effect]:
-    """Forget what lasts for long: requests that crashed targets, and limits that have ended."""
+def _expire_long_lived(state: ServingState, *, now: float) -> list[Effect]:
+    """Expire long-lived entries: requests that crashed targets, and limits that have ended."""
     state.crashes.expire(now)
     state.limits.expire(now)
     state.permits.expire(state.limits.targets)
     return []
 
 
-def _fire(state: ServingState, record: CallRecord, timer: Timer, *, now: float) -> list[Effect]:
+def _handle_timer(
+    state: ServingState, record: CallRecord, timer: Timer, *, now: float
+) -> list[Effect]:
     if timer.kind is TimerKind.DEADLINE:
         return end_expired(state, record, now=now)
     if timer.kind is TimerKind.LATEST_START and record.phase is Phase.WAITING:
