--- a/tests/serving/fixtures.py
+++ b/tests/serving/fixtures.py
@@ -1,4 +1,4 @@
-"""A small fleet and a host that drives the reducer with virtual time."""
+"""A small fleet, and a driver that applies events to one host's reducer in virtual time."""
 
 import logging
 from collections.abc import Iterator, Sequence
@@ -46,7 +46,7 @@
 
 
 def engine(name: str, *, place: str = "a1", role: TargetRole = TargetRole.SERVING) -> Target:
-    """Return an engine of the one model."""
+    """Return an engine that serves the model of `model_call`."""
     return Target(
         name=TargetName(name),
         service=ServiceName("llm"),
@@ -59,7 +59,7 @@
 
 
 def booking(name: str) -> Target:
-    """Return a plain target."""
+    """Return a target of the plain service."""
     return Target(
         name=TargetName(name), service=ServiceName("book"), place=PlaceName("a1"), address=name
     )
@@ -72,7 +72,7 @@
     limit: float = 0.0,
     rules: Rules | None = None,
 ) -> Snapshot:
-    """Return a configuration with two places of one region and one of another."""
+    """Return a configuration with two places in one region and one in another."""
     inventory = Inventory(
         places=tuple(Place(name=PlaceName(name), region=name[0]) for name in ("a1", "a2", "b1")),
         services=(
@@ -110,19 +110,19 @@
     )
 
 
-class Faults(logging.Handler):
-    """Raises what the reducer logs: each fault of its own, at which no test may pass by chance."""
+class RaisingHandler(logging.Handler):
+    """Raises the exceptions that the reducer contains and logs, so that they fail the test."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Raise what was caught."""
+        """Raise the exception of a log record, if it has one."""
         if record.exc_info and record.exc_info[1]:
             raise record.exc_info[1]
 
 
 @contextmanager
 def faults_raised() -> Iterator[None]:
-    """Raise each fault of the reducer that it logs meanwhile."""
-    handler = Faults(level=logging.ERROR)
+    """Raise each exception that the reducer logs while the context is open."""
+    handler = RaisingHandler(level=logging.ERROR)
     logger = absl_logging.get_absl_logger()
     logger.addHandler(handler)
     try:
@@ -135,9 +135,9 @@
     """One host's reducer, its clock and all effects so far.
 
     Args:
-        config: The configuration, or None for the usual one.
+        config: The configuration, or None for the default one.
         seed: Seeds every random choice.
-        faulty: Whether steps may fail, as a test has them do so.
+        faulty: Whether the test injects exceptions, which are then not raised.
     """
 
     def __init__(
@@ -162,7 +162,7 @@
         return self.send(CallArrived(now=self.now, call=call))
 
     def tick(self, until: float) -> list[Effect]:
-        """Let time pass in ticks and return the effects."""
+        """Advance the clock in ticks and return the effects."""
         effects: list[Effect] = []
         while self.now < until:
             self.now = round(self.now + 0.05, 6)
@@ -170,11 +170,11 @@
         return effects
 
     def start_all(self, calls: Sequence[Call]) -> list[StartAttempt]:
-        """Let calls arrive and return the attempts that start."""
+        """Let calls arrive and return the attempts that this starts."""
         return [start for call in calls for start in only(StartAttempt, self.arrive(call))]
 
     def error(self, call: str) -> object:
-        """Return the error of the one final answer of a call."""
+        """Return the error of the call's only final answer, or None if it succeeded."""
         (finish,) = (e for e in only(FinishCall, self.effects) if e.call == call)
         return finish.error
 
--- a/tests/serving/test_attempts.py
+++ b/tests/serving/test_attempts.py
@@ -1,4 +1,4 @@
-"""The life of a call: what is sent, what is never sent again, and the one final answer."""
+"""Attempts of a call: what is sent, what is retried, and the one final answer."""
 
 from collections.abc import Callable
 
@@ -41,13 +41,13 @@
 
 
 def end(driver: Driver, how: AttemptEnd, *, attempt: int = 1, **more: object) -> list[object]:
-    """Let an attempt of the one call end."""
+    """End an attempt of the call and return the effects."""
     event = AttemptEnded(now=driver.now, call=CALL, attempt=attempt, end=how, **more)  # type: ignore[arg-type]
     return list(driver.send(event))
 
 
 def running(call_maker: Callable[[str], object]) -> Driver:
-    """Return a driver whose one call has its first attempt running."""
+    """Return a driver with one call, whose first attempt is running."""
     driver = Driver()
     driver.arrive(call_maker("c1"))  # type: ignore[arg-type]
     driver.send(ClaimGranted(now=0.0, call=CALL))
@@ -56,7 +56,7 @@
 
 
 class TestEnds:
-    """How the end of an attempt turns into an answer or another attempt."""
+    """Whether the end of an attempt leads to an answer or to a retry."""
 
     @pytest.mark.parametrize(
         ("make", "how", "error", "settled", "again"),
@@ -72,7 +72,7 @@
             (plain_call, AttemptEnd.REJECTED, TargetRejectedError, ClaimOutcome.NOT_RUN, False),
         ],
     )
-    def test_table(
+    def test_each_end(
         self,
         make: Callable[[str], object],
         how: AttemptEnd,
@@ -80,7 +80,7 @@
         settled: ClaimOutcome | None,
         again: bool,
     ) -> None:
-        """A call is sent again only where it may repeat or surely did not run."""
+        """A call is retried only if it is repeatable or certainly did not run."""
         driver = running(make)
         rejected = TargetRejectedError(target_status=400, detail="no")
         end(driver, how, error=rejected)
@@ -93,7 +93,7 @@
         )
 
     def test_resume(self) -> None:
-        """A broken stream goes on at another engine from the token that the caller has."""
+        """A broken stream resumes at another engine after the last token that the caller has."""
         driver = running(model_call)
         driver.send(FirstTokenArrived(now=0.0, call=CALL, attempt=1))
         driver.send(TokensArrived(now=0.0, call=CALL, attempt=1, tokens=40))
@@ -103,7 +103,7 @@
         assert second.targets != only(StartAttempt, driver.effects)[0].targets
 
     def test_resume_after_a_lost_engine(self) -> None:
-        """An attempt that was called off still tells from which token the next one goes on."""
+        """The end of a cancelled attempt still tells the next one where to resume."""
         driver = running(model_call)
         (first,) = only(StartAttempt, driver.effects)
         driver.send(FirstTokenArrived(now=0.0, call=CALL, attempt=1))
@@ -115,8 +115,8 @@
         (second,) = only(StartAttempt, driver.tick(3.0))
         assert second.resume_from == 57
 
-    def test_old_attempt(self) -> None:
-        """What an attempt says after it ended changes nothing."""
+    def test_late_events(self) -> None:
+        """Events of an attempt that has ended are ignored."""
         driver = running(model_call)
         end(driver, AttemptEnd.BROKEN, tokens=5)
         driver.tick(1.0)
@@ -133,7 +133,7 @@
         ],
     )
     def test_exhausted(self, how: AttemptEnd, error: type[AzureswitchError], ran: Ran) -> None:
-        """A call that is given up on has its answer at once, with the time to come back."""
+        """A call whose retries are exhausted is answered at once, with a retry-after time."""
         driver = running(model_call)
         for attempt in range(1, 20):
             end(driver, how, attempt=attempt)
@@ -146,7 +146,7 @@
 
 
 class TestClaims:
-    """A call that may not repeat is claimed before it is sent."""
+    """A call that is not repeatable is claimed before it is sent."""
 
     def test_claim_first(self) -> None:
         """Nothing is sent before the claim is granted, and a second grant sends nothing."""
@@ -163,7 +163,7 @@
             (ClaimReplayed(now=0.0, call=CALL), type(None)),
         ],
     )
-    def test_not_ours(self, event: ClaimDenied | ClaimReplayed, error: type[object]) -> None:
+    def test_no_claim(self, event: ClaimDenied | ClaimReplayed, error: type[object]) -> None:
         """A denied or replayed claim ends the call without sending it."""
         driver = Driver()
         driver.arrive(plain_call("c1"))
@@ -173,7 +173,7 @@
         assert not only(StartAttempt, driver.effects)
 
     def test_late_grant(self) -> None:
-        """A claim granted after the call was given up on is settled as not run, once."""
+        """A claim granted after the call has ended is settled as not run, once."""
         driver = Driver()
         driver.arrive(plain_call("c1", deadline=1.0))
         driver.tick(1.1)
@@ -183,18 +183,18 @@
         assert settled == [SettleClaim(call=CALL, outcome=ClaimOutcome.NOT_RUN)]
 
     def test_grant_after_done(self) -> None:
-        """A grant that comes twice never turns a finished call into one that did not run."""
+        """A duplicate grant does not settle a finished call as not run."""
         driver = running(plain_call)
         end(driver, AttemptEnd.COMPLETE)
         assert driver.send(ClaimGranted(now=driver.now, call=CALL)) == []
 
 
-class TestEndOfTime:
-    """Deadlines, callers that leave, and hosts that shut down."""
+class TestInterruptions:
+    """Deadlines, callers that disconnect, and hosts that shut down."""
 
     @pytest.mark.parametrize("make", [model_call, plain_call])
     def test_deadline(self, make: Callable[[str], object]) -> None:
-        """A running call is answered by its deadline, and all its attempts are cancelled."""
+        """A running call is answered by its deadline, and its attempts are cancelled."""
         driver = running(make)
         driver.tick(60.0)
         assert isinstance(driver.error("c1"), DeadlineExceededError)
@@ -205,7 +205,7 @@
 
     @pytest.mark.parametrize(("make", "cancels"), [(model_call, 1), (plain_call, 0)])
     def test_caller_left(self, make: Callable[[str], object], cancels: int) -> None:
-        """What may not repeat runs on, since its outcome is still wanted."""
+        """A call that is not repeatable keeps running, as its outcome may still be asked for."""
         driver = running(make)
         driver.send(CallerLeft(now=0.0, call=CALL))
         assert len(only(CancelAttempt, driver.effects)) == cancels
@@ -213,7 +213,7 @@
         assert len(only(FinishCall, driver.effects)) == 1
 
     def test_shutdown(self) -> None:
-        """A host that shuts down lets running calls end and refuses new ones."""
+        """A host that drains lets running calls finish and refuses new ones."""
         driver = running(model_call)
         driver.send(ShutdownBegan(now=0.0))
         driver.arrive(model_call("c2"))
@@ -223,7 +223,7 @@
         assert driver.error("c1") is None
 
     def test_targets_differ(self) -> None:
-        """Calls that arrive together go to different engines of those for short prompts."""
+        """Concurrent short prompts are sent to different engines."""
         driver = Driver()
         starts = driver.start_all([model_call(f"c{i}", tokens=4_000) for i in range(3)])
         assert len({s.targets for s in starts}) == 3
--- a/tests/serving/test_loop.py
+++ b/tests/serving/test_loop.py
@@ -1,4 +1,4 @@
-"""Effects that cannot be carried out cost no other call theirs."""
+"""An effect that raises does not prevent the effects on other calls."""
 
 import pytest
 
@@ -20,10 +20,10 @@
 
 
 class Shell:
-    """Carries effects out, but those of one kind for the first call.
+    """Records effects, and raises at those of one type for the first call.
 
     Args:
-        failing: The kind.
+        failing: The type of the effects that raise.
     """
 
     def __init__(self, failing: type[Effect]) -> None:
@@ -36,14 +36,14 @@
             self.loop.dispatch(CallArrived(now=0.0, call=model_call(call, runs=2)))
 
     def run(self, effect: Effect) -> None:
-        """Carry an effect out."""
+        """Record an effect, or raise if it is to fail."""
         if isinstance(effect, self._failing) and getattr(effect, "call", None) == CALLS[0]:
             raise RuntimeError
         self.effects.append(effect)
 
 
 def test_finish(caplog: pytest.LogCaptureFixture) -> None:
-    """The other calls that the same event ends have their answers, and a line is logged."""
+    """Other calls that the same event ends are answered, and the failure is logged."""
     shell = Shell(FinishCall)
     shell.loop.dispatch(GraceEnded(now=1.0))
     assert {finish.call for finish in only(FinishCall, shell.effects)} == set(CALLS[1:])
@@ -51,7 +51,7 @@
 
 
 def test_start(caplog: pytest.LogCaptureFixture) -> None:
-    """An attempt that cannot be started has failed; its call is tried again and then answered."""
+    """An attempt that cannot be started counts as failed; its call is retried, then answered."""
     shell = Shell(StartAttempt)
     now = 0.0
     while now < 10.0:
--- a/tests/serving/test_machine.py
+++ b/tests/serving/test_machine.py
@@ -1,4 +1,7 @@
-"""Random events, doubled, late and crossed ones among them, against the promises to callers."""
+"""Stateful test of the reducer's guarantees to callers.
+
+It applies random events, including duplicate, late and reordered ones.
+"""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -51,12 +54,12 @@
 INDEXES = st.sampled_from((0, 0, 0, 1, 1, 2, 3, 7, 20))
 MAYBE_RAN = {AttemptEnd.BROKEN, AttemptEnd.CANCELLED, AttemptEnd.COMPLETE}
 
-LATEST = 310.0
-"""Seconds after which the last deadline of any call has passed."""
+MAX_DEADLINE_SECONDS = 310.0
+"""Seconds after which the deadline of every call has passed."""
 
 
 class ServingMachine(RuleBasedStateMachine):
-    """Drives one host and checks every effect against what came before it."""
+    """Drives one host and checks each effect against the preceding events and effects."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -68,19 +71,19 @@
         self.finished: dict[CallId, FinishCall] = {}
         self.granted: set[CallId] = set()
         self.settled: dict[CallId, ClaimOutcome] = {}
-        self.outside: set[TargetName] = set()
+        self.draining_targets: set[TargetName] = set()
         self.unreachable: dict[TargetName, float] = {}
         self.shutdown = False
 
     @property
-    def quiet(self) -> bool:
-        """Whether every call has its answer and the host keeps nothing of any."""
+    def idle(self) -> bool:
+        """Whether every call is answered and the host holds no state of any."""
         state = self.driver.state
         left = state.calls or state.queue or state.fleet.loads()
         return not left and set(self.finished) == set(self.calls)
 
     def take(self, effects: list[Effect]) -> None:
-        """Check effects one by one."""
+        """Check each effect and record it."""
         for effect in effects:
             if isinstance(effect, StartAttempt):
                 self.check_start(effect)
@@ -97,14 +100,14 @@
                 self.check_finish(effect)
 
     def check_start(self, start: StartAttempt) -> None:
-        """No attempt without a claim, after the answer, twice, or at a target out of use."""
+        """Check an attempt: its call is open and claimed, it is new, and its targets are usable."""
         key, call = (start.call, start.attempt), self.calls[start.call]
         assert start.call not in self.finished
         assert key not in self.starts
         assert len(set(start.targets)) == len(start.targets)
         assert list(start.targets) == sorted(start.targets)
         for target in start.targets:
-            assert target not in self.outside
+            assert target not in self.draining_targets
             assert self.unreachable.get(target, 0.0) <= self.driver.now
         if not call.repeatable:
             assert start.call in self.granted
@@ -112,7 +115,7 @@
         self.starts[key] = start
 
     def check_settled(self, settle: SettleClaim) -> None:
-        """A claim is settled once, and as not run only where nothing may have run."""
+        """Check that a claim is settled once, and as not run only if no attempt may have run."""
         assert settle.call in self.granted
         assert settle.call not in self.settled
         if settle.outcome is ClaimOutcome.NOT_RUN:
@@ -120,7 +123,7 @@
         self.settled[settle.call] = settle.outcome
 
     def check_finish(self, finish: FinishCall) -> None:
-        """One answer, in time, and true where it says that nothing ran."""
+        """Check that there is one answer, in time, and not a wrong one that nothing ran."""
         call = self.calls[finish.call]
         assert finish.call not in self.finished
         assert self.driver.now <= call.deadline + TICK_SECONDS
@@ -129,16 +132,16 @@
         self.finished[finish.call] = finish
 
     def may_have_run(self, call: CallId) -> bool:
-        """Return whether an attempt of a call runs or may have run."""
+        """Return whether any attempt of a call is running or may have run."""
         ends = [self.ends.get(key, AttemptEnd.BROKEN) for key in self.starts if key[0] == call]
         return any(end in MAYBE_RAN for end in ends)
 
     def any_call(self, index: int) -> CallId:
-        """Return one of the calls so far, finished ones among them, the latest first."""
+        """Return a call by its age, 0 being the latest; finished ones count."""
         return list(self.calls)[-1 - index % len(self.calls)]
 
     def any_start(self, index: int) -> tuple[CallId, int]:
-        """Return one of the attempts so far, ended ones among them, the latest first."""
+        """Return an attempt by its age, 0 being the latest; ended ones count."""
         return list(self.starts)[-1 - index % len(self.starts)]
 
     @rule(
@@ -148,7 +151,7 @@
         prefix=st.sampled_from(((), (1,), (1, 2), (3,))),
     )
     def model(self, tokens: int, customer: str, seconds: float, prefix: tuple[int, ...]) -> None:
-        """A prompt arrives."""
+        """A call to the model arrives."""
         call = model_call(
             f"c{len(self.calls)}",
             customer=customer,
@@ -166,13 +169,13 @@
 
     @rule(grants=st.integers(1, 3))
     def book(self, grants: int) -> None:
-        """A call that may not repeat arrives, and its claim is granted, perhaps again."""
+        """A call that is not repeatable arrives, and its claim is granted one or more times."""
         self.plain(repeatable=False, seconds=1.0)
         for _ in range(grants):
             self.claim(index=0, how="granted")
 
     def arrive(self, call: Call) -> None:
-        """Let a call arrive, and once more while it is there."""
+        """Let a call arrive, and again while it is open."""
         self.calls[call.id] = call
         self.take(self.driver.arrive(call))
         if call.id not in self.finished:
@@ -182,7 +185,7 @@
     @precondition(lambda self: self.calls)
     @rule(index=INDEXES, how=st.sampled_from(("granted", "denied", "replayed")))
     def claim(self, index: int, how: str) -> None:
-        """The claim of a call is answered, perhaps again or for a call that is over."""
+        """The claim of a call is answered, possibly twice or after the call has ended."""
         call, now = self.any_call(index), self.driver.now
         if self.calls[call].repeatable:
             return
@@ -203,7 +206,7 @@
         after=st.sampled_from((None, 0.5)),
     )
     def end(self, index: int, end: AttemptEnd, tokens: int, after: float | None) -> None:
-        """An attempt ends, perhaps one that ended or was cancelled before."""
+        """An attempt ends, possibly one that ended or was cancelled before."""
         call, attempt = self.any_start(index)
         error = TargetRejectedError(target_status=400, detail="no")
         event = AttemptEnded(
@@ -222,7 +225,7 @@
     @precondition(lambda self: self.starts)
     @rule(index=INDEXES, tokens=st.integers(0, 100))
     def tokens(self, index: int, tokens: int) -> None:
-        """An attempt delivers output, perhaps after its end."""
+        """An attempt delivers output, possibly after its end."""
         call, attempt = self.any_start(index)
         now = self.driver.now
         self.take(self.driver.send(FirstTokenArrived(now=now, call=call, attempt=attempt)))
@@ -232,12 +235,12 @@
     @precondition(lambda self: self.calls)
     @rule(index=INDEXES)
     def leave(self, index: int) -> None:
-        """A caller leaves."""
+        """A caller disconnects."""
         self.take(self.driver.send(CallerLeft(now=self.driver.now, call=self.any_call(index))))
 
     @rule(seconds=st.sampled_from((0.05, 0.1, 0.4, 0.5, 5.0, 40.0)))
     def tick(self, seconds: float) -> None:
-        """Time passes."""
+        """Advance the clock in ticks."""
         until = self.driver.now + seconds
         while self.driver.now < until:
             self.driver.now = round(self.driver.now + TICK_SECONDS, 6)
@@ -255,7 +258,7 @@
         tokens=st.sampled_from((0, 20_000, 400_000)),
     )
     def report(self, name: TargetName, sequence: int, tokens: int) -> None:
-        """A load report arrives, perhaps an old one."""
+        """A load report arrives, possibly an outdated one."""
         report = LoadReport(
             target=name,
             started=1,
@@ -277,7 +280,7 @@
         suspect=st.booleans(),
     )
     def digest(self, sequence: int, name: TargetName, seconds: float, suspect: bool) -> None:
-        """A peer's digest arrives, perhaps an old one."""
+        """A peer's digest arrives, possibly an outdated one."""
         digest = Digest(
             host=HostName("h2"),
             sequence=sequence,
@@ -296,25 +299,25 @@
 
     @rule(revision=st.integers(1, 9), draining=st.sets(st.sampled_from(ENGINES), max_size=3))
     def configure(self, revision: int, draining: set[TargetName]) -> None:
-        """A configuration is adopted, perhaps an old one, that lets engines leave."""
+        """A configuration that drains some engines arrives, possibly an outdated one."""
         roles = {True: TargetRole.DRAINING, False: TargetRole.SERVING}
         targets = [engine(name, role=roles[name in draining]) for name in ENGINES]
         config = snapshot(revision=revision, targets=[*targets, booking("s1")], limit=2.0)
         known = self.driver.state.snapshot
         if known is not None and revision > known.revision:
-            self.outside = draining
+            self.draining_targets = draining
         self.take(self.driver.send(SnapshotAdopted(now=self.driver.now, snapshot=config)))
 
     @precondition(lambda self: len(self.calls) > 5)
     @rule()
     def shut_down(self) -> None:
-        """The host is told to shut down, perhaps twice."""
+        """The host begins to drain, possibly twice."""
         self.shutdown = True
         self.take(self.driver.send(ShutdownBegan(now=self.driver.now)))
 
     @invariant()
     def answers_in_time(self) -> None:
-        """Every call past its deadline has its answer, and no attempt of it is left."""
+        """Calls past their deadline are answered, and answered calls have no running attempt."""
         for call in self.calls.values():
             if self.driver.now > call.deadline + TICK_SECONDS:
                 assert call.id in self.finished
@@ -323,11 +326,11 @@
                 assert key in self.ends.keys() | self.cancelled
 
     def teardown(self) -> None:
-        """Let time pass until nothing is left of any call, the latest deadline at most."""
-        end = self.driver.now + LATEST
-        while self.driver.now < end and not self.quiet:
+        """Advance the clock until no call is open, at most past the last deadline."""
+        end = self.driver.now + MAX_DEADLINE_SECONDS
+        while self.driver.now < end and not self.idle:
             self.tick(1.0)
-        # Whatever still comes after that is checked as all effects are.
+        # Effects that still follow are checked like all others.
         self.tick(2.0)
         assert set(self.finished) == set(self.calls)
         assert not self.driver.state.calls
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -1,7 +1,7 @@
-"""A target that turns a request away and says for how long gets nothing for so long.
+"""A target that refuses a request with a retry-after time gets no requests until it is over.
 
-A target that was overloaded answered 503 and asked to be left alone for some seconds.  It was left
-alone for one second at most, whatever it asked, and got requests of the same host again and again.
+The tests guard against a cap on that time: an overloaded target answered 503 with a retry-after
+time of some seconds, but hosts honoured one second at most and kept sending it requests.
 """
 
 import pytest
@@ -16,7 +16,7 @@
 
 
 def refuse(driver: Driver, start: StartAttempt, seconds: float | None) -> None:
-    """Let the target of an attempt turn it away."""
+    """Let the target of an attempt refuse it, with a retry-after time if one is given."""
     target = start.targets[0]
     ended = AttemptEnded(
         now=driver.now,
@@ -29,8 +29,8 @@
     driver.send(ended)
 
 
-def used(driver: Driver, name: str) -> TargetName | None:
-    """Return the target that a new request is sent to, which answers it at once."""
+def send_request(driver: Driver, name: str) -> TargetName | None:
+    """Send a new request, let it complete at once, and return its target or None."""
     starts = driver.start_all([plain_call(name, repeatable=True, deadline=driver.now + 10.0)])
     for start in starts:
         ended = AttemptEnded(
@@ -40,8 +40,8 @@
     return starts[0].targets[0] if starts else None
 
 
-def check_left_alone(seconds: float) -> None:
-    """Check that a target which asks for some seconds gets nothing for so long, and no longer."""
+def check_retry_after(seconds: float) -> None:
+    """Check that a target gets no requests for its retry-after time, and does after it."""
     driver = Driver(config=snapshot(targets=[booking("s1"), booking("s2"), booking("s3")]))
     (start,) = driver.start_all([plain_call("first", repeatable=True, deadline=60.0)])
     refuse(driver, start, seconds)
@@ -50,43 +50,43 @@
     while driver.now + STEP < seconds:
         driver.tick(driver.now + STEP)
         number += 1
-        assert used(driver, f"c{number}") not in (refused, None)
+        assert send_request(driver, f"c{number}") not in (refused, None)
     driver.tick(seconds + STEP)
-    assert refused in {used(driver, f"after{number}") for number in range(20)}
+    assert refused in {send_request(driver, f"after{number}") for number in range(20)}
 
 
-class TestLeftAlone:
-    """What a target gets that has turned a request away."""
+class TestRetryAfter:
+    """A target that refused a request with a retry-after time."""
 
     @pytest.mark.parametrize("seconds", [3.0, 20.0])
-    def test_for_so_long(self, seconds: float) -> None:
-        """It gets nothing until the time is over that it asked for, and its share after that."""
-        check_left_alone(seconds)
+    def test_honoured(self, seconds: float) -> None:
+        """It gets no requests until that time is over, and its share afterwards."""
+        check_retry_after(seconds)
 
     @pytest.mark.parametrize("seconds", [3.0, 20.0])
     def test_alone(self, seconds: float) -> None:
-        """Without another target requests are refused at once, to come back when it is over."""
+        """Without another target requests are refused at once, with the remaining time."""
         driver = Driver(config=snapshot(targets=[booking("s1")]))
         (start,) = driver.start_all([plain_call("first", repeatable=True, deadline=60.0)])
         refuse(driver, start, seconds)
         driver.tick(2.0)
-        assert used(driver, "c1") is None
+        assert send_request(driver, "c1") is None
         error = driver.error("c1")
         assert isinstance(error, NoTargetError)
         assert seconds - 2.0 <= error.seconds <= 1.5 * seconds
         assert driver.now == 2.0
 
 
-class TestBriefly:
-    """A target that asks for a short time, or for none."""
+class TestShortRetryAfter:
+    """A target that refused a request with a retry-after time of 1 s or less."""
 
     @pytest.mark.parametrize("seconds", [0.5, 1.0])
-    def test_short_time(self, seconds: float) -> None:
-        """It gets nothing for so long."""
-        check_left_alone(seconds)
+    def test_honoured(self, seconds: float) -> None:
+        """It gets no requests until that time is over."""
+        check_retry_after(seconds)
 
-    def test_soon(self) -> None:
-        """It is used again soon: it only had no place."""
+    def test_usable_again(self) -> None:
+        """An engine that was only full is usable again soon, and the call stays open."""
         driver = Driver()
         (start,) = driver.start_all([model_call("c1")])
         refuse(driver, start, 0.25)
--- a/tests/serving/test_silence.py
+++ b/tests/serving/test_silence.py
@@ -1,4 +1,4 @@
-"""A silent target is given up only where another attempt is permitted and finds a target."""
+"""A silent attempt is cancelled only if a retry is permitted and another target has room."""
 
 from collections.abc import Callable
 from math import ceil
@@ -35,7 +35,7 @@
 
 SHARE = 0.16
 BURST = 368
-"""Retries that the hosts of a large fleet share."""
+"""Retries that the hosts of a large fleet share as their burst."""
 
 
 def nothing(driver: Driver) -> None:
@@ -43,29 +43,29 @@
 
 
 def spend_budget(driver: Driver) -> None:
-    """Use up the retries of the host."""
+    """Exhaust the host's retry budget."""
     while driver.state.retries.take():
         pass
 
 
 def use_runs(driver: Driver) -> None:
-    """Let the call have run as often as its route permits, with the attempt under way."""
+    """Set the call's runs so that the running attempt is the last one permitted."""
     record = driver.state.calls[CALL]
     record.run_count = record.call.runs - 1
 
 
 def use_retries(driver: Driver) -> None:
-    """Let the call have been retried as often as any call is."""
+    """Set the call's retries to the maximum."""
     driver.state.calls[CALL].retry_count = MAX_RETRIES
 
 
 def near_deadline(driver: Driver) -> None:
-    """Let the deadline come before another attempt could begin."""
+    """Advance the clock so that the deadline passes before another attempt could start."""
     driver.now = driver.state.calls[CALL].call.deadline - 0.01
 
 
 def sent(call: Call, *, targets: int = 2) -> Driver:
-    """Return a driver whose one call has been sent."""
+    """Return a driver with one call, which has been sent."""
     driver = Driver(config=snapshot(targets=[booking(f"s{n}") for n in range(targets)]))
     if call.model:
         driver = Driver()
@@ -76,15 +76,15 @@
 
 
 def silence(driver: Driver) -> list[object]:
-    """Tell of the silence of the first attempt."""
+    """Report that the first attempt is silent, and return the effects."""
     return list(driver.send(AttemptSilent(now=driver.now, call=CALL, attempt=1)))
 
 
 class TestSilence:
-    """What becomes of an attempt whose target writes nothing."""
+    """Handling of an attempt whose target sends no output."""
 
-    def test_follows(self) -> None:
-        """The attempt is called off and another target goes on, once for each silence."""
+    def test_moves_to_another_target(self) -> None:
+        """The attempt is cancelled and another target started, once per silent attempt."""
         driver = sent(model_call("c1", runs=2, objective=1.0))
         effects = silence(driver)
         (first,) = (s for s in only(StartAttempt, driver.effects) if s.attempt == 1)
@@ -99,8 +99,8 @@
         [spend_budget, use_runs, use_retries, near_deadline],
         ids=lambda bring: bring.__name__,
     )
-    def test_waited_for(self, bring: Callable[[Driver], None]) -> None:
-        """Without another attempt the call stays where it is, until its deadline at the most."""
+    def test_no_retry(self, bring: Callable[[Driver], None]) -> None:
+        """If no retry is permitted the attempt keeps running, at most until the call's deadline."""
         driver = sent(model_call("c1", runs=2, objective=1.0))
         bring(driver)
         assert not silence(driver)
@@ -110,13 +110,13 @@
         assert isinstance(driver.error("c1"), DeadlineExceededError)
 
     def test_alone(self) -> None:
-        """Without another target the call stays where it is."""
+        """Without another target the attempt keeps running."""
         driver = sent(plain_call("c1", repeatable=True), targets=1)
         assert not silence(driver)
         assert driver.state.calls[CALL].attempts
 
     def test_others_wait(self) -> None:
-        """Where others wait for a target the call stays, and does not go behind them."""
+        """If other calls are queued the attempt keeps running, as a retry would be queued last."""
         driver = sent(plain_call("c1", repeatable=True))
         record = driver.state.calls[CALL]
         driver.state.queue.push(
@@ -126,31 +126,31 @@
         assert record.attempts
 
     def test_host_stops(self) -> None:
-        """Where the host stops before another attempt could begin, the call stays where it is."""
+        """If the host stops before another attempt could start, the attempt keeps running."""
         driver = sent(plain_call("c1", repeatable=True))
         driver.send(ShutdownBegan(now=driver.now, until=driver.now + 0.05))
         assert not silence(driver)
         assert driver.state.calls[CALL].attempts
 
     def test_not_repeatable(self) -> None:
-        """What may run once is waited for, whatever other targets there are."""
+        """A call that is not repeatable keeps its attempt, even if there are other targets."""
         driver = sent(plain_call("c1"))
         assert not silence(driver)
         assert driver.state.calls[CALL].attempts
 
     def test_over(self) -> None:
-        """The silence of an attempt that is over says nothing."""
+        """The silence of an attempt that has ended is ignored."""
         driver = sent(model_call("c1", runs=3, objective=1.0))
         silence(driver)
         assert not driver.send(AttemptSilent(now=0.0, call=CallId("c9"), attempt=1))
 
 
 class TestBudget:
-    """Whether a retry is in the budget can be asked without taking it."""
+    """The retry budget of hosts."""
 
     @pytest.mark.parametrize(("burst", "permits"), [(2.0, True), (1.0, True), (0.5, False)])
     def test_permits(self, burst: float, permits: bool) -> None:
-        """Asking takes nothing."""
+        """Asking whether a retry is permitted takes none from the budget."""
         budget = RetryBudget(share=0.0, burst=burst)
         assert budget.permits() is permits
         assert budget.permits() is permits
@@ -158,11 +158,12 @@
 
     @pytest.mark.parametrize("hosts", [1, 9, 70, 195, 420])
     @pytest.mark.parametrize("told", [False, True])
-    def test_start(self, hosts: int, told: bool) -> None:
-        """Hosts that all start at once, and are or are not told of each other, keep to the burst.
+    def test_started_together(self, hosts: int, told: bool) -> None:
+        """Hosts that start together share the burst, whether or not they know of each other yet.
 
-        Of 70 hosts that were killed and started together each had a ninth of the burst until it
-        knew of the others, so that targets were sent up to eight times of it again.
+        Guards against a fixed initial share: 70 hosts that were killed and restarted together each
+        had a ninth of the burst until they knew of the others, so that targets got up to eight
+        times the burst in retries.
         """
         budgets = [_starting_budget() for _ in range(hosts)]
         taken = sum(_take_all(budget) for budget in budgets)
@@ -175,7 +176,7 @@
 
     @pytest.mark.parametrize("hosts", [195, 420, 600])
     def test_large_fleet(self, hosts: int) -> None:
-        """A host whose share of the burst is less than one retry earns it by its calls."""
+        """A host whose share of the burst is below one retry earns one with its calls."""
         budget = _starting_budget()
         budget.set_hosts(hosts)
         _take_all(budget)
@@ -187,7 +188,7 @@
         ("fleet_size", "retries"), [(None, BURST), (1, BURST), (195, 1), (420, 0)]
     )
     def test_dead_peers(self, fleet_size: int | None, retries: int) -> None:
-        """Hosts that are taken for dead keep their shares: they may only be cut off."""
+        """Hosts considered dead keep their shares, as they may only be partitioned."""
         budget = _starting_budget()
         host = sent(model_call("c1"))
         host.state._retries = budget
@@ -196,12 +197,12 @@
 
 
 def _starting_budget() -> RetryBudget:
-    """Return the budget of a host that starts and knows of no other."""
+    """Return the budget of a host that has just started and knows of no other."""
     return RetryBudget(share=SHARE, burst=BURST / HOSTS_MOST, fleet_burst=BURST)
 
 
 def _take_all(budget: RetryBudget) -> int:
-    """Take retries until there are no more, and return how many there were."""
+    """Exhaust a budget and return how many retries it held."""
     taken = 0
     while budget.take():
         taken += 1
--- a/tests/serving/test_stopping.py
+++ b/tests/serving/test_stopping.py
@@ -1,4 +1,4 @@
-"""What a host that stops begins no more, and how it ends what is open."""
+"""Shutdown of a host: which work it still starts, and how it ends open calls."""
 
 from collections.abc import Callable
 from math import inf
@@ -37,7 +37,7 @@
 
 
 def refused(driver: Driver, call: Call) -> None:
-    """Let a call be sent and be refused by its target, so that it waits for its next try."""
+    """Let a call be sent and refused by its target, so that it waits for its retry."""
     sent(driver, call)
     event = AttemptEnded(
         now=driver.now, call=call.id, attempt=1, end=AttemptEnd.REFUSED, retry_after=5.0
@@ -46,13 +46,13 @@
 
 
 def broken(driver: Driver, call: Call) -> None:
-    """Let a call be sent and be broken off, so that it may have run and waits for its next try."""
+    """Let a call be sent and its attempt break, so that it may have run and awaits its retry."""
     sent(driver, call)
     driver.send(AttemptEnded(now=driver.now, call=call.id, attempt=1, end=AttemptEnd.BROKEN))
 
 
 class TestEnd:
-    """Each open call gets its one final answer as the host stops."""
+    """Each open call gets its one final answer when the grace period ends."""
 
     @pytest.mark.parametrize(
         ("call", "bring", "error", "ran"),
@@ -72,7 +72,7 @@
         error: type[AzureswitchError],
         ran: Ran,
     ) -> None:
-        """What was sent may have run; what every target refused has not; nothing begins again."""
+        """A sent call may have run, a refused one has not, and neither is retried."""
         driver = Driver()
         bring(driver, call)
         running = len(driver.state.calls[CALL].attempts)
@@ -88,22 +88,22 @@
         assert len(only(FinishCall, driver.effects)) == 1
 
     def test_afterwards(self) -> None:
-        """A call that is read after that is refused as not run."""
+        """A call that arrives after the grace period is refused as not run."""
         driver = Driver()
         driver.send(GraceEnded(now=0.0))
         driver.arrive(model_call("c1"))
         assert isinstance(driver.error("c1"), LeavingError)
 
 
-class TestBegin:
-    """Nothing is begun that cannot end before the host stops."""
+class TestStart:
+    """Work that cannot finish before the host stops is not started."""
 
     @pytest.mark.parametrize(
         ("tokens", "until", "admitted"),
         [(1_000, 5.0, True), (1_000, 0.001, False), (400_000, 5.0, False), (400_000, inf, True)],
     )
     def test_new(self, tokens: int, until: float, admitted: bool) -> None:
-        """A call whose expected time is over what is left is refused, with when to come back."""
+        """A call expected to outlast the remaining time is refused with a retry-after time."""
         driver = Driver()
         driver.send(ShutdownBegan(now=0.0, until=until))
         driver.arrive(model_call("c1", tokens=tokens))
@@ -114,7 +114,7 @@
             assert error.retry_after
 
     def test_retry(self) -> None:
-        """A try after the stop is not waited for; the pause before it is 25 ms at least."""
+        """A retry that would follow the stop is not awaited; its backoff is at least 25 ms."""
         driver = Driver()
         driver.send(ShutdownBegan(now=0.0, until=0.02))
         refused(driver, plain_call("c1", repeatable=True))
@@ -123,11 +123,11 @@
 
 
 class TestDrain:
-    """A host that takes no new work, and has no end, serves on what is open."""
+    """A host that drains without a stop time continues to serve open calls."""
 
     @pytest.mark.parametrize("call", [model_call("c1"), plain_call("c1", repeatable=True)])
     def test_broken(self, call: Call) -> None:
-        """A call whose target breaks off is sent again; a new one is refused."""
+        """A call whose attempt breaks is retried; a new one is refused."""
         driver = Driver()
         sent(driver, call)
         driver.send(ShutdownBegan(now=driver.now))
