--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -10,7 +10,6 @@
     RetriesExhaustedError,
     TargetBrokenError,
 )
-from azureswitch.serving._allowed import all_limited, count_held_back, lane_for
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import TargetStart
 from azureswitch.serving._effects import (
@@ -28,7 +27,7 @@
     run_step,
 )
 from azureswitch.serving._events import AttemptEnd, AttemptEnded, TokensArrived
-from azureswitch.serving._fleet import EJECT_MOST, PACED_EJECT_MOST
+from azureswitch.serving._fleet import MAX_EJECTION_SECONDS, MAX_UNSHARED_EJECTION_SECONDS
 from azureswitch.serving._length import Level, ageing_period, priority
 from azureswitch.serving._queue import Lane
 from azureswitch.serving._retries import (
@@ -42,6 +41,7 @@
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState, TimerKind
 from azureswitch.serving._termination import end_quarantined, give_up
+from azureswitch.serving._throttling import all_limited, count_held_back, lane_for
 
 LANE_RECHECK_SECONDS = {Level.SHORT: 0.02, Level.MIDDLE: 0.1, Level.LONG: 0.25}
 """Seconds before a lane is drained again after no target had room for its calls."""
@@ -64,7 +64,7 @@
 
 def dispatch(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Send a call to a target, or queue it until one has room."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     lane = lane_of(record)
     lane_in_use = any(True for _ in state.queue.customers(lane))
@@ -74,7 +74,7 @@
     floor = min((state.fairness.served(n) for n in state.queue.customers(lane)), default=0.0)
     if all_limited(state, record.pool, now=now):
         floor -= PERMIT_CREDIT_CALLS * record.cost.total
-    state.fairness.lift(record.call.customer, floor)
+    state.fairness.raise_counter(record.call.customer, floor)
     record.phase = Phase.WAITING
     if record.call.unshared:
         at = now + max_queue_seconds(record.call)
@@ -96,7 +96,7 @@
     do not each scan it.
     """
     effects: list[Effect] = []
-    while state.queue.open(lane, now=now):
+    while state.queue.has_ready(lane, now=now):
         started = _start_next(state, lane, now=now)
         if not started:
             state.queue.block(lane, until=now + LANE_RECHECK_SECONDS[lane.level])
@@ -161,10 +161,10 @@
         state.ledger.add(call=call.id, attempt=attempt.number, occupancies=choice.occupancies)
     else:
         state.fleet.add(choice.targets, work=choice.work, now=now)
-    state.fairness.serve(call.customer, choice.work.seconds * len(choice.targets))
+    state.fairness.record_served(call.customer, choice.work.seconds * len(choice.targets))
     held_back = count_held_back(state, record.pool, now=now)
     for target in choice.targets:
-        state.affinity.sent(target, call.prefix)
+        state.affinity.record_sent(target, call.prefix)
         state.permits.take(target, now=now)
     if call.model and record.pool.pace is None:
         _set_aging_timer(state, record, attempt, now=now)
@@ -216,7 +216,7 @@
     silent = record.attempts.get(number)
     if silent is None or len(record.attempts) > 1 or record.first_token is not None:
         return []
-    if not record.may_run_beside(1) or state.crashes.seconds_left(record.call, now=now):
+    if not record.may_run_beside(1) or state.crashes.quarantine_seconds(record.call, now=now):
         return []
     record.failed.update(silent.targets)
     choice = choose(state, record, now=now)
@@ -359,7 +359,7 @@
     _record_failure(state, record, attempt, event)
     if isinstance(event.error, TargetBrokenError):
         start = TargetStart(target=attempt.targets[0], started=attempt.start)
-        state.crashes.broke_off(record.call, start, now=now)
+        state.crashes.record_crash(record.call, start, now=now)
     if not record.call.repeatable and not refused:
         error = OutcomeLostError()
         return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
@@ -395,13 +395,13 @@
 def mark_failed(state: ServingState, record: CallRecord, target: TargetName, *, now: float) -> None:
     """Eject a failed target for a while, and exclude it from further attempts at this call."""
     record.failed.add(target)
-    max_ejection = PACED_EJECT_MOST if record.call.unshared else EJECT_MOST
+    max_ejection = MAX_UNSHARED_EJECTION_SECONDS if record.call.unshared else MAX_EJECTION_SECONDS
     state.fleet.failed(target, now=now, longest=max_ejection)
 
 
 def retry(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Retry a call after its backoff, or end it at once if no retry is permitted."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     record.retry_count += 1
     delay = _retry_delay(state, record)
--- a/src/azureswitch/serving/_fairness.py
+++ b/src/azureswitch/serving/_fairness.py
@@ -146,7 +146,7 @@
         for name in self._peers.keys() - names:
             del self._peers[name]
 
-    def hear(self, digest: Digest, *, now: float) -> bool:
+    def apply_digest(self, digest: Digest, *, now: float) -> bool:
         """Count what a peer's customers used since its last digest.
 
         Returns:
@@ -235,7 +235,7 @@
         account.used = max(0.0, account.used + seconds)
         self._untold[customer] = TELL_TIMES
 
-    def serve(self, customer: CustomerName, seconds: float) -> None:
+    def record_served(self, customer: CustomerName, seconds: float) -> None:
         """Count engine seconds that were sent to a target, in the virtual counter."""
         account = self._accounts.get(customer)
         if account is not None:
@@ -265,7 +265,7 @@
         account = self._accounts.get(customer)
         return account.served if account else 0.0
 
-    def lift(self, customer: CustomerName, floor: float) -> None:
+    def raise_counter(self, customer: CustomerName, floor: float) -> None:
         """Raise the counter of a customer that was idle, so that it saves up no credit."""
         account = self._accounts.get(customer)
         if account is not None:
--- a/src/azureswitch/serving/_limited.py
+++ b/src/azureswitch/serving/_limit_events.py
@@ -4,7 +4,6 @@
 from functools import partial
 
 from azureswitch.core import Effect
-from azureswitch.serving._allowed import all_limited, seconds_until_permitted
 from azureswitch.serving._attempts import drain_all
 from azureswitch.serving._digests import LimitReport
 from azureswitch.serving._effects import AnnounceLimit, AnswerPermit, AskPermit
@@ -14,6 +13,7 @@
 from azureswitch.serving._retries import max_queue_seconds
 from azureswitch.serving._state import CallRecord, Phase, ServingState
 from azureswitch.serving._termination import end_limited
+from azureswitch.serving._throttling import all_limited, seconds_until_permitted
 
 
 def note_limit(state: ServingState, event: LimitNamed) -> list[Effect]:
@@ -42,7 +42,7 @@
 def asks(state: ServingState, *, now: float) -> list[Effect]:
     """Ask for the permits that were found missing."""
     effects: list[Effect] = []
-    for target in state.permits.take_asks():
+    for target in state.permits.pop_asks():
         report = state.limits.report(target, now=now)
         if report is not None:
             effects.append(AskPermit(owner=state.permits.owner_of(target), report=report))
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -56,8 +56,15 @@
     TokensArrived,
     TotalsReceived,
 )
+from azureswitch.serving._failover import (
+    leave_unreachable,
+    replace_silent,
+    restart_attempts,
+    withdraw,
+)
+from azureswitch.serving._gossip import publish_digest, publish_totals
 from azureswitch.serving._length import Level, level_of
-from azureswitch.serving._limited import (
+from azureswitch.serving._limit_events import (
     answer_permit,
     asks,
     hear_limits,
@@ -65,10 +72,8 @@
     note_no_limit,
     take_permit,
 )
-from azureswitch.serving._removal import lose, resend, silent, withdraw
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
-from azureswitch.serving._telling import tell, tell_totals
 from azureswitch.serving._termination import (
     end_expired,
     end_quarantined,
@@ -99,20 +104,22 @@
     if state.ledger.changed or state.crashes.changed or state.limits.news:
         effects = [
             *effects,
-            *run_isolated(partial(tell, state, now=event.now), name="Publishing a digest"),
+            *run_isolated(
+                partial(publish_digest, state, now=event.now), name="Publishing a digest"
+            ),
         ]
     return tuple(effects) or NO_EFFECTS
 
 
 def _begin_quarantines(state: ServingState, *, now: float) -> list[Effect]:
     """Announce changed quarantines, and end quarantined calls that wait to be sent."""
-    changes = state.crashes.look(now=now)
+    changes = state.crashes.pop_changes(now=now)
     if not changes:
         return []
     effects: list[Effect] = [AnnounceQuarantine(change=change) for change in changes]
     for record in list(state.calls.values()):
         waiting = record.phase in (Phase.WAITING, Phase.BACKING_OFF)
-        if waiting and state.crashes.seconds_left(record.call, now=now):
+        if waiting and state.crashes.quarantine_seconds(record.call, now=now):
             step = partial(end_quarantined, state, record, now=now)
             effects += run_step(state, record, step, now=now)
     return effects
@@ -157,7 +164,7 @@
     if call.model:
         state.fairness.charge(call.customer, cost.total, now=now)
         short = level is Level.SHORT and not state.fairness.exceeds(call.customer, now=now)
-        state.split.admitted(call, seconds=cost.prefill, short=short, now=now)
+        state.split.record_admitted(call, seconds=cost.prefill, short=short, now=now)
     state.timers.set(at=state.ends_at(call), kind=TimerKind.DEADLINE, call=call.id)
     state.timers.set(
         at=call.deadline - cost.prefill - cost.answer / 2.0,
@@ -254,7 +261,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    step = partial(silent, state, record, event.attempt, now=event.now)
+    step = partial(replace_silent, state, record, event.attempt, now=event.now)
     return run_step(state, record, step, now=event.now)
 
 
@@ -287,7 +294,11 @@
 @_apply.register
 def _(event: TargetUnreachable, state: ServingState) -> list[Effect]:
     silent_seconds = state.fleet.unreachable(event.target, now=event.now)
-    return lose(state, event.target, now=event.now) if silent_seconds >= LOST_SECONDS else []
+    return (
+        leave_unreachable(state, event.target, now=event.now)
+        if silent_seconds >= LOST_SECONDS
+        else []
+    )
 
 
 @_apply.register
@@ -321,9 +332,11 @@
 
 @_apply.register
 def _(event: DigestReceived, state: ServingState) -> list[Effect]:
-    if event.digest.host != state.myself.name and state.fairness.hear(event.digest, now=event.now):
+    if event.digest.host != state.myself.name and state.fairness.apply_digest(
+        event.digest, now=event.now
+    ):
         state.fleet.hear(_without_mismatched_starts(state, event.digest), now=event.now)
-        state.split.hear(event.digest, now=event.now)
+        state.split.apply_digest(event.digest, now=event.now)
         state.ledger.hear(
             host=event.digest.host,
             occupancies=event.digest.occupancies,
@@ -381,7 +394,7 @@
 @_apply.register
 def _(event: SnapshotAdopted, state: ServingState) -> list[Effect]:
     restarted = state.adopt(event.snapshot)
-    effects = resend(state, restarted, now=event.now) if restarted else []
+    effects = restart_attempts(state, restarted, now=event.now) if restarted else []
     return effects + drain_all(state, now=event.now)
 
 
@@ -429,9 +442,9 @@
     effects += run_isolated(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
         effects += run_isolated(
-            partial(tell, state, regular=True, now=now), name="Publishing a digest"
+            partial(publish_digest, state, regular=True, now=now), name="Publishing a digest"
         )
-        effects += run_isolated(partial(tell_totals, state), name="Publishing the totals")
+        effects += run_isolated(partial(publish_totals, state), name="Publishing the totals")
         effects += run_isolated(partial(_expire_long_lived, state, now=now), name="Forgetting")
     return effects
 
--- a/src/azureswitch/serving/_termination.py
+++ b/src/azureswitch/serving/_termination.py
@@ -14,11 +14,11 @@
     RefusedError,
     RetriesExhaustedError,
 )
-from azureswitch.serving._allowed import all_limited, limit_reached
 from azureswitch.serving._effects import ClaimOutcome
 from azureswitch.serving._ending import finish
 from azureswitch.serving._retries import backoff
 from azureswitch.serving._state import CallRecord, ServingState
+from azureswitch.serving._throttling import all_limited, limit_reached
 
 
 def give_up(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
@@ -29,7 +29,7 @@
 
 def end_quarantined(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """End a call whose request is quarantined because targets crashed while running it."""
-    seconds = state.crashes.seconds_left(record.call, now=now)
+    seconds = state.crashes.quarantine_seconds(record.call, now=now)
     return _refuse(state, record, QuarantinedError(seconds=seconds), now=now)
 
 
