--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -377,8 +377,8 @@
     """Eject the target of a failed attempt, or back off from it as long as it asked for.
 
     Of several targets this concerns the one reported at fault, or else the first one, which sends
-    the answer.  Nothing is recorded for a target that has restarted since, as the failure was that
-    of its previous start.
+    the answer; if their pace is not published, it concerns none.  Nothing is recorded for a target
+    that has restarted since, as the failure was that of its previous start.
     """
     if len(attempt.targets) > 1 and record.pool.pace is None:
         return
--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -2,7 +2,7 @@
 
 An event may concern several calls.  Where handling it raises for one of them, the exception is
 logged and the event is still handled for the others.  The call itself is answered with an error,
-unless it has running attempts that the failed step left untouched and need not have ended.
+unless it has running attempts that the failed step did not change and was not meant to end.
 """
 
 from collections.abc import Callable
--- a/src/azureswitch/serving/_termination.py
+++ b/src/azureswitch/serving/_termination.py
@@ -28,7 +28,10 @@
 
 
 def end_quarantined(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """End a call whose request is quarantined because targets crashed while running it."""
+    """End a call whose request is quarantined because targets crashed while running it.
+
+    It is sent to no other target.
+    """
     seconds = state.crashes.quarantine_seconds(record.call, now=now)
     return _refuse(state, record, QuarantinedError(seconds=seconds), now=now)
 
@@ -52,7 +55,7 @@
 
 
 def end_expired(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """End a call whose deadline has passed."""
+    """End a call at its deadline."""
     if record.attempts or record.may_have_run:
         error: AzureswitchError = DeadlineExceededError()
         return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
@@ -61,7 +64,7 @@
 
 
 def end_unfinishable(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
-    """End a waiting call that can no longer finish before its deadline."""
+    """End a queued call that can no longer finish in time or has been queued for too long."""
     if record.may_have_run:
         return give_up(state, record, now=now)
     if all_limited(state, record.pool, now=now):
--- a/tests/serving/test_attempts.py
+++ b/tests/serving/test_attempts.py
@@ -59,7 +59,7 @@
     """Whether the end of an attempt leads to an answer or to a retry."""
 
     @pytest.mark.parametrize(
-        ("make", "how", "error", "settled", "again"),
+        ("make", "how", "error", "settled", "retried"),
         [
             (model_call, AttemptEnd.COMPLETE, None, None, False),
             (model_call, AttemptEnd.BROKEN, None, None, True),
@@ -78,7 +78,7 @@
         how: AttemptEnd,
         error: type[AzureswitchError] | None,
         settled: ClaimOutcome | None,
-        again: bool,
+        retried: bool,
     ) -> None:
         """A call is retried only if it is repeatable or certainly did not run."""
         driver = running(make)
@@ -86,8 +86,8 @@
         end(driver, how, error=rejected)
         driver.tick(1.0)
         starts, finishes = only(StartAttempt, driver.effects), only(FinishCall, driver.effects)
-        assert len(starts) == (2 if again else 1)
-        assert [type(f.error) for f in finishes] == ([] if again else [error or type(None)])
+        assert len(starts) == (2 if retried else 1)
+        assert [type(f.error) for f in finishes] == ([] if retried else [error or type(None)])
         assert [s.outcome for s in only(SettleClaim, driver.effects)] == (
             [settled] if settled else []
         )
--- a/tests/serving/test_silence.py
+++ b/tests/serving/test_silence.py
@@ -116,7 +116,7 @@
         assert driver.state.calls[CALL].attempts
 
     def test_others_wait(self) -> None:
-        """If other calls are queued the attempt keeps running, as a retry would be queued last."""
+        """If other calls are queued the attempt keeps running, as a retry would be queued too."""
         driver = sent(plain_call("c1", repeatable=True))
         record = driver.state.calls[CALL]
         driver.state.queue.push(
