--- a/src/azureswitch/serving/_events.py
+++ b/src/azureswitch/serving/_events.py
@@ -67,7 +67,15 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt at a target ended."""
+    """How an attempt at a target ended.
+
+    Attributes:
+        COMPLETE: The target delivered the whole answer.
+        REFUSED: The target did not run the request, which may be sent again.
+        BROKEN: The attempt failed, and the request may have run.
+        REJECTED: The target answered with an error that ends the call without a retry.
+        CANCELLED: The attempt was cancelled, and the request may have run.
+    """
 
     COMPLETE = "complete"
     REFUSED = "refused"
