--- a/src/azureswitch/gateway/_stopping.py
+++ b/src/azureswitch/gateway/_stopping.py
@@ -17,9 +17,9 @@
 
 from azureswitch.coordination.membership import Member, MemberStatus, live_hosts
 from azureswitch.core import Effect, Effects, Event, HostName, PlaceName
-from azureswitch.serving import TURNED_SECONDS
+from azureswitch.serving import BALANCER_SECONDS
 
-LINGER_SECONDS = TURNED_SECONDS
+LINGER_SECONDS = BALANCER_SECONDS
 """Seconds for which a leaving process listens at least."""
 
 CLOSE_MARGIN = 2.0
--- a/src/azureswitch/serving/__init__.py
+++ b/src/azureswitch/serving/__init__.py
@@ -1,6 +1,6 @@
 """The policy: admission, routing, attempts and retries, as one reducer."""
 
-from azureswitch.serving._admission import TURNED_SECONDS
+from azureswitch.serving._admission import BALANCER_SECONDS
 from azureswitch.serving._crashes import QUARANTINE_SECONDS
 from azureswitch.serving._digests import (
     CrashReport,
@@ -69,7 +69,7 @@
 
 __all__ = [
     "TICK",
-    "TURNED_SECONDS",
+    "BALANCER_SECONDS",
     "AttemptEnd",
     "AttemptEnded",
     "AttemptSilent",
--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -1,4 +1,4 @@
-"""Decides at once whether a call is admitted, and if not, when to come back."""
+"""Admission control: admits a call on arrival, or refuses it with a time to retry."""
 
 from collections.abc import Iterable
 
@@ -20,46 +20,47 @@
 from azureswitch.serving._events import Call
 from azureswitch.serving._fleet import Pool
 from azureswitch.serving._length import Level, level_of
-from azureswitch.serving._spreading import MOST_PARTS
+from azureswitch.serving._spreading import MAX_PARTS
 from azureswitch.serving._state import ServingState
 from azureswitch.serving._target import TargetState
 
 SHORT_QUEUE_SECONDS = 4.0
-"""Seconds that a short prompt may be expected to wait here before it is refused."""
+"""Maximum predicted queueing time of a short prompt; above it, the call is refused."""
 
-BUSY_FILL = 0.5
-"""Prefill seconds a second that a busy engine manages beside decoding."""
+BUSY_PREFILL_SHARE = 0.5
+"""Prefill seconds per second that a busy engine achieves beside decoding."""
 
-RETRY_MOST = 60.0
-"""Seconds after which a refused caller is told to come back, at most."""
+MAX_RETRY_AFTER_SECONDS = 60.0
+"""Maximum retry time that a refused caller is given, before jitter."""
 
-TURNED_SECONDS = 2.3
-"""Seconds after which callers of a leaving host have been sent elsewhere by the balancer.
+BALANCER_SECONDS = 2.3
+"""Seconds until the load balancer has stopped sending callers to a host that is leaving.
 
-Until then it must take them: the balancer asks once a second and needs two misses.
+Until then the host must accept them: the balancer checks once a second and needs two failures.
 """
 
-LATE_MARGIN = 2.5
-"""Times its prediction that a call may take which a leaving host begins after that."""
+LEAVING_MARGIN = 2.5
+"""Factor on the predicted duration of a call that a leaving host starts after that time."""
 
 RESTART_SECONDS = 1.5
-"""Seconds after which a caller is told to come back where all hosts are leaving.
+"""Retry time for callers if this host is leaving and there is no other one.
 
-A process that has ended serves again 1.0 to 1.2 s later, 0.4 s of which it loads the program.
+A process that has ended serves again after 1.0 to 1.2 s, 0.4 s of which is spent loading the
+program.
 """
 
 LEAVING_SECONDS = 0.05
-"""Seconds after which a caller is told to come back, to another host; a connection takes 10 ms."""
+"""Retry time for callers that another host can serve; a connection takes 10 ms."""
 
 NO_TARGET_SECONDS = 2.0
-"""Seconds after which a caller is told to come back where no target is up, at least."""
+"""Minimum retry time for callers if no target is up."""
 
 
 def refusal(state: ServingState, call: Call, *, now: float) -> AzureswitchError | None:
-    """Return why a call is refused, or None where it is admitted."""
-    wrong = _wrong(state, call, now=now)
-    if wrong is not None:
-        return wrong
+    """Return the error with which a call is refused, or None if it is admitted."""
+    refused = _request_refusal(state, call, now=now)
+    if refused is not None:
+        return refused
     held_back = state.crashes.seconds_left(call, now=now)
     if held_back:
         return QuarantinedError(seconds=held_back)
@@ -74,10 +75,10 @@
     wait = state.fairness.wait(call.customer, long=long, now=now)
     if wait > 0.0:
         return LimitExceededError(seconds=_jittered(state, wait))
-    return _too_late(state, call, pool, now=now)
+    return _deadline_refusal(state, call, pool, now=now)
 
 
-def _wrong(state: ServingState, call: Call, *, now: float) -> AzureswitchError | None:
+def _request_refusal(state: ServingState, call: Call, *, now: float) -> AzureswitchError | None:
     if state.snapshot is None:
         return NotConfiguredError()
     if now >= state.closes_at:
@@ -92,18 +93,23 @@
 
 
 def _until_usable(targets: Iterable[TargetState], *, now: float) -> float:
-    """Return the seconds until one of some targets may be used that has asked to be left alone."""
+    """Return the seconds until the first target that has asked for a pause is usable again.
+
+    The minimum is `NO_TARGET_SECONDS`.
+    """
     waits = [t.unusable_until - now for t in targets if t.usable(max(now, t.unusable_until))]
     return max(NO_TARGET_SECONDS, min(waits, default=0.0))
 
 
-def _too_late(state: ServingState, call: Call, pool: Pool, *, now: float) -> RefusedError | None:
+def _deadline_refusal(
+    state: ServingState, call: Call, pool: Pool, *, now: float
+) -> RefusedError | None:
     cost = expected_cost(state, call, pool)
-    if now + cost.most(margin=_stop_margin(state, now=now)) > state.stops_at:
-        # Here it would be broken off as the host ends.
-        return LeavingError(seconds=_jittered(state, _elsewhere(state)))
+    if now + cost.upper_bound(margin=_stop_margin(state, now=now)) > state.stops_at:
+        # The call would be cut off when this host stops.
+        return LeavingError(seconds=_jittered(state, _leaving_retry_seconds(state)))
     level = level_of(call, state.rules)
-    allowed = call.deadline - now - cost.likely
+    allowed = call.deadline - now - cost.expected_seconds
     if level is Level.SHORT:
         allowed = min(allowed, SHORT_QUEUE_SECONDS)
     wait = expected_wait(state, call, pool, level=level, now=now)
@@ -113,29 +119,29 @@
 
 
 def _stop_margin(state: ServingState, *, now: float) -> float:
-    """Return how many times its prediction a call that a leaving host begins may take."""
-    return LATE_MARGIN if now > state.leaving_since + TURNED_SECONDS else DURATION_MARGIN
+    """Return the factor on a call's predicted duration for the check against the host's stop."""
+    return LEAVING_MARGIN if now > state.leaving_since + BALANCER_SECONDS else DURATION_MARGIN
 
 
-def _elsewhere(state: ServingState) -> float:
-    """Return the seconds after which another host may take a call that this one does not begin."""
+def _leaving_retry_seconds(state: ServingState) -> float:
+    """Return the retry time for a call that this host refuses because it is leaving."""
     return LEAVING_SECONDS if state.fairness.hosts > 1 else RESTART_SECONDS
 
 
 def expected_cost(state: ServingState, call: Call, pool: Pool) -> Cost:
-    """Return what a call is expected to cost at the targets of its pool."""
+    """Return the predicted cost of a call at the targets of its pool."""
     if pool.pace is None:
         return state.costs.predict(call)
-    engines = min(MOST_PARTS, len(pool.targets))
+    engines = min(MAX_PARTS, len(pool.targets))
     return state.costs.predict_paced(call, pace=pool.pace, engines=engines)
 
 
 def expected_wait(
     state: ServingState, call: Call, pool: Pool, *, level: Level, now: float
 ) -> float:
-    """Estimate how long a call would wait in this host's queue.
+    """Estimate the seconds that a call would wait in this host's queue.
 
-    The host's part of the pool is shared among the customers that wait, by weight, so that a
+    The host's share of the pool is divided among the waiting customers by weight, so that a
     customer with many calls waits behind its own.
     """
     lane = lane_for(call, level)
@@ -151,11 +157,11 @@
             hosts=state.fairness.hosts,
             now=now,
         )
-    rate = engines * BUSY_FILL / state.fairness.hosts
+    rate = engines * BUSY_PREFILL_SHARE / state.fairness.hosts
     weights = {name: state.fairness.weight(name) for name in waiting | {call.customer}}
     share = weights[call.customer] / sum(weights.values())
     return state.queue.seconds(lane, call.customer) / max(1e-6, rate * share)
 
 
 def _jittered(state: ServingState, seconds: float) -> float:
-    return min(RETRY_MOST, seconds) * state.random.uniform(1.0, 1.25)
+    return min(MAX_RETRY_AFTER_SECONDS, seconds) * state.random.uniform(1.0, 1.25)
--- a/src/azureswitch/serving/_affinity.py
+++ b/src/azureswitch/serving/_affinity.py
@@ -1,4 +1,4 @@
-"""Which engines are believed to hold which prefixes, from cache events and own sends."""
+"""Index of the prefixes in each engine's cache, built from cache events and requests sent."""
 
 from collections import OrderedDict
 
@@ -6,17 +6,17 @@
 from azureswitch.ports import CacheEvents
 
 BLOCKS_PER_ENGINE = 4_096
-"""Prefix blocks that are remembered per engine; the least recently used are forgotten."""
+"""Maximum prefix blocks in the index per engine; the least recently used is evicted."""
 
 BLOCK_TOKENS = 512
-"""Prompt tokens that one prefix hash adds."""
+"""Prompt tokens covered by each further prefix hash."""
 
 
 class PrefixIndex:
     """A bounded map from prefix hash to engines.
 
-    Hashes are salted per customer before they arrive here, so that two customers never share an
-    entry and neither can learn of the other's prompts by timing.
+    Hashes are salted per customer before they get here, so that customers never share an entry
+    and none can infer another's prompts from timing.
     """
 
     def __init__(self) -> None:
@@ -25,10 +25,10 @@
         self._starts: dict[TargetName, int] = {}
 
     def apply(self, events: CacheEvents) -> None:
-        """Take over cache events; a restart forgets everything.
+        """Apply cache events; a restart of the engine clears its entries.
 
-        After a gap the rest is kept: what was evicted unseen only makes one prompt dearer than
-        expected, and falls out as the least recently used.
+        Entries are kept after a gap in the events: a block whose eviction was missed only makes
+        one prompt more expensive than predicted, and is evicted here as least recently used.
         """
         known = self._starts.get(events.target)
         if known is not None and known > events.started:
@@ -42,24 +42,24 @@
             self._add(events.target, block)
 
     def record_sent(self, target: TargetName, prefix: tuple[int, ...]) -> None:
-        """Expect that an engine will have a prefix, since a request with it was sent there."""
+        """Add a prefix to an engine's entries, since a request with it was sent there."""
         for block in prefix:
             self._add(target, block)
 
     def forget(self, target: TargetName) -> None:
-        """Forget everything about an engine."""
+        """Remove all entries of an engine."""
         for block in tuple(self._blocks.get(target, ())):
             self._remove(target, block)
 
     def restart(self, target: TargetName) -> None:
-        """Forget an engine that has started again, and what is still told of its earlier start."""
+        """Remove the entries of a restarted engine and ignore late events of its previous start."""
         self.forget(target)
         if target in self._starts:
-            # Events of the start that is over come late; those of any later one are taken over.
+            # Late events of the previous start are ignored; those of any later start are applied.
             self._starts[target] += 1
 
     def cached(self, prefix: tuple[int, ...]) -> dict[TargetName, int]:
-        """Return, for each engine that holds a leading part, how many tokens it holds."""
+        """Return the number of cached tokens for each engine that holds a leading part."""
         found: dict[TargetName, int] = {}
         for count in range(len(prefix), 0, -1):
             for target in self._engines.get(prefix[count - 1], ()):
--- a/src/azureswitch/serving/_candidates.py
+++ b/src/azureswitch/serving/_candidates.py
@@ -1,4 +1,4 @@
-"""An engine to choose from as its account tells it, and what the best choice among some costs."""
+"""Candidate engines, scored choices, and the estimates that both rely on."""
 
 from msgspec import Struct
 
@@ -12,36 +12,36 @@
 
 
 class Engine(Struct, frozen=True, kw_only=True):
-    """An engine to choose from.
+    """A candidate engine.
 
     Attributes:
         target: Its state.
-        there: What all hosts have there.
-        limited: Whether it names a limit of the requests that it takes.
-        unheard: Whether it is to be tried, as that limit may have ended.
+        occupancy: Its occupancy by requests of all hosts.
+        limited: Whether it has announced a limit on requests.
+        probe: Whether it should be probed, as its limit may have ended.
     """
 
     target: TargetState
-    there: Occupancy
+    occupancy: Occupancy
     limited: bool = False
-    unheard: bool = False
+    probe: bool = False
 
     @property
     def name(self) -> TargetName:
-        """Its name."""
+        """Name of the target."""
         return self.target.target.name
 
     @property
     def free_tokens(self) -> int:
-        """Tokens of its memory that nobody has taken."""
-        return self.target.target.memory - self.there.tokens
+        """Unoccupied memory in tokens."""
+        return self.target.target.memory - self.occupancy.tokens
 
 
-class Offer(Struct, frozen=True, kw_only=True):
-    """The best choice among some engines.
+class ScoredChoice(Struct, frozen=True, kw_only=True):
+    """The best choice among some engines, with its cost.
 
     Attributes:
-        cost: What it costs all who use them.
+        cost: Cost to the call and to other streams, in late short streams.
         choice: The choice.
     """
 
@@ -49,18 +49,18 @@
     choice: Choice
 
 
-def wait_seconds(there: Occupancy, pace: EnginePace) -> float:
-    """Return the seconds until a new prompt is read.
+def wait_seconds(occupancy: Occupancy, pace: EnginePace) -> float:
+    """Return the predicted seconds until the prefill of a new prompt begins.
 
-    A pass of the streams and what is read before it; and where all places are taken, the time until
-    as many answers have ended as requests wait for one.
+    This is one decode pass and the prefill queued before it.  If all slots are taken, it includes
+    the time until a slot is free for each waiting request.
     """
-    writing = pass_seconds(pace) if there.streams or there.long_streams else pace.step
-    waiting = max(0, there.streams + there.long_streams + 1 - pace.slots)
+    writing = pass_seconds(pace) if occupancy.streams or occupancy.long_streams else pace.step
+    waiting = max(0, occupancy.streams + occupancy.long_streams + 1 - pace.slots)
     turn = pace.answer * pace.step / pace.slots
-    return writing + there.short_reading + there.reading + waiting * turn
+    return writing + occupancy.short_reading + occupancy.reading + waiting * turn
 
 
 def needed_tokens(call: Call) -> int:
-    """Return the tokens of memory that a call may take, its prompt and the longest answer."""
+    """Return the tokens of memory that a call needs for its prompt and the longest answer."""
     return call.prompt_tokens + call.output_tokens
--- a/src/azureswitch/serving/_choice.py
+++ b/src/azureswitch/serving/_choice.py
@@ -1,4 +1,4 @@
-"""What routing decides for one attempt."""
+"""The routing decision for one attempt."""
 
 from msgspec import Struct
 
@@ -8,19 +8,20 @@
 
 
 class Choice(Struct, frozen=True, kw_only=True):
-    """Where an attempt goes.
+    """The targets of an attempt and the load that it adds to them.
 
     Attributes:
-        targets: The target; several for a prompt larger than one engine's memory.
-        work: What it puts on each of them.
+        targets: The targets; several if a prompt exceeds one engine's memory or its prefill is
+            spread.
+        work: Load that it adds to each target.
         cached_tokens: Prompt tokens expected in the target's cache.
-        wait: Engine seconds that stand before it.
+        wait: Predicted seconds of other work ahead of it.
         running: Requests that wait or run at the target.
-        occupancies: What it puts on each target, as the peers are told.
-        reserved: Tokens of memory to be set aside at each target before the attempt is sent;
-            nothing where the prompt fits into the first one's memory.
-        first_token: Predicted seconds to the first token where the engines' pace is published,
-            else zero.
+        occupancies: Occupancy that it adds to each target, as reported to peers.
+        reserved: Tokens of memory to reserve at each target before the attempt is sent; empty if
+            the prompt fits into the first target's memory.
+        first_token: Predicted seconds to the first token if the engines' pace is published, else
+            zero.
     """
 
     targets: tuple[TargetName, ...]
--- a/src/azureswitch/serving/_cost.py
+++ b/src/azureswitch/serving/_cost.py
@@ -1,4 +1,4 @@
-"""Predicts what a call costs in engine seconds and corrects the prediction by what was seen."""
+"""Predicts the cost of a call in engine seconds and calibrates the prediction by observations."""
 
 from msgspec import Struct
 
@@ -8,48 +8,48 @@
 from azureswitch.serving._pace import read_seconds
 
 PREFILL_RATE = 20_000.0
-"""Prompt tokens per second that an engine is taken to prefill before anything was seen."""
+"""Assumed prefill rate in prompt tokens per second before any observation."""
 
-ATTENTION_SPAN = 1_000_000.0
-"""Prompt tokens at which attention doubles the time of a prefill, before anything was seen."""
+ATTENTION_TOKENS = 1_000_000.0
+"""Prompt tokens at which attention doubles the prefill time, before any observation."""
 
-DECODE_SECONDS = 0.001
+DECODE_SECONDS_PER_TOKEN = 0.001
 """Engine seconds per output token in a full batch."""
 
-EXPECTED_OUTPUT = 0.5
-"""Share of the permitted output tokens that a call is expected to produce at first."""
+DEFAULT_OUTPUT_SHARE = 0.5
+"""Share of the permitted output tokens that a call is expected to use, before any observation."""
 
-TOKEN_INTERVAL = 0.05
-"""Seconds between two output tokens, before anything was seen."""
+DEFAULT_TOKEN_INTERVAL_SECONDS = 0.05
+"""Seconds between two output tokens, before any observation."""
 
-PLAIN_SECONDS = 0.005
-"""Seconds that a call keeps a plain target busy, before anything was seen."""
+DEFAULT_PLAIN_SECONDS = 0.005
+"""Seconds that a call occupies a plain target, before any observation."""
 
 SMOOTHING = 0.05
-"""Weight of one new sample in a smoothed figure."""
+"""Weight of a new sample in an exponential moving average."""
 
 STRETCH_SMOOTHING = 0.1
-"""Weight of one new sample of how much longer a prefill takes beside other work."""
+"""Weight of a new sample in the moving average of the prefill stretch."""
 
-STRETCH_MOST = 4.0
-"""The greatest such sample that is believed."""
+MAX_STRETCH = 4.0
+"""Upper bound of a stretch sample."""
 
 DURATION_MARGIN = 1.15
-"""Times what was lately seen that a call is given, so that few admitted ones run out of time."""
+"""Factor on the predicted duration, so that few admitted calls exceed their deadline."""
 
 CORRECTION_LIMITS = (0.02, 50.0)
-"""The least and the greatest factor by which a prediction is corrected."""
+"""Lower and upper bound of the factor by which a prediction is corrected."""
 
 
 class Cost(Struct, frozen=True, kw_only=True):
-    """What a call is expected to cost.
+    """Predicted cost of a call.
 
     Attributes:
         prefill: Engine seconds to the first token on an idle engine.
         decode: Engine seconds for the output, as a share of a full batch.
-        answer: Seconds from the first token to the last, as lately seen.
-        stretch: How much longer than alone a prefill takes beside other work, as lately seen.
-        longest: Seconds from the first token to the last where all tokens permitted are written.
+        answer: Seconds from the first token to the last, by recent observations.
+        stretch: Factor by which other work prolongs a prefill, by recent observations.
+        longest: Seconds from the first token to the last if all permitted tokens are produced.
     """
 
     prefill: float
@@ -64,27 +64,28 @@
         return self.prefill + self.decode
 
     @property
-    def likely(self) -> float:
-        """Seconds from an attempt's start to its whole answer, beside other work."""
+    def expected_seconds(self) -> float:
+        """Predicted seconds from an attempt's start to its last token, with a margin."""
         return (self.prefill * self.stretch + self.answer) * DURATION_MARGIN
 
-    def most(self, *, margin: float) -> float:
-        """Return the seconds that an attempt hardly ever exceeds.
+    def upper_bound(self, *, margin: float) -> float:
+        """Return a duration in seconds that an attempt rarely exceeds.
 
-        Few streams take longer than the tokens permitted take alone, and hardly any twice as long.
+        Few streams take longer than all permitted tokens take on an idle engine, and hardly any
+        take twice as long.
 
         Args:
-            margin: Times its prediction that it may take.
+            margin: Factor on the duration with all permitted tokens.
         """
-        return max(self.likely, (self.prefill * self.stretch + self.longest) * margin)
+        return max(self.expected_seconds, (self.prefill * self.stretch + self.longest) * margin)
 
 
 def _base_prefill(tokens: int) -> float:
-    return tokens / PREFILL_RATE * (1.0 + tokens / ATTENTION_SPAN)
+    return tokens / PREFILL_RATE * (1.0 + tokens / ATTENTION_TOKENS)
 
 
 def _kind(call: Call) -> tuple[str, int]:
-    """Return the model and the order of magnitude, by fours, of a call's prompt."""
+    """Return the model and the prompt length bucket of a call; buckets grow by a factor of four."""
     return call.model, call.prompt_tokens.bit_length() // 2
 
 
@@ -94,7 +95,7 @@
 
 
 class CostModel:
-    """Predictions per model and prompt length, and the speed of each target."""
+    """Predicts costs per model and prompt length, and tracks the speed of each target."""
 
     def __init__(self) -> None:
         self._factors: dict[tuple[str, int], float] = {}
@@ -109,18 +110,18 @@
 
         Args:
             call: The call.
-            cached_tokens: Prompt tokens that the engine is expected to have in its cache.
+            cached_tokens: Prompt tokens that the engine's prefix cache is expected to hold.
 
         Returns:
-            The cost on an engine of ordinary speed.
+            The cost on an engine of average speed.
         """
         if not call.model:
-            return Cost(prefill=self._plain.get(call.service, PLAIN_SECONDS), decode=0.0)
+            return Cost(prefill=self._plain.get(call.service, DEFAULT_PLAIN_SECONDS), decode=0.0)
         prefill = self.prefill_seconds(
             model=call.model, prompt_tokens=call.prompt_tokens, cached_tokens=cached_tokens
         )
-        output = call.output_tokens * self._outputs.get(call.model, EXPECTED_OUTPUT)
-        interval = self._intervals.get(_kind(call), TOKEN_INTERVAL)
+        output = call.output_tokens * self._outputs.get(call.model, DEFAULT_OUTPUT_SHARE)
+        interval = self._intervals.get(_kind(call), DEFAULT_TOKEN_INTERVAL_SECONDS)
         return Cost(
             prefill=prefill,
             decode=self.decode_seconds(output),
@@ -129,15 +130,15 @@
         )
 
     def prefill_seconds(self, *, model: str, prompt_tokens: int, cached_tokens: int) -> float:
-        """Return the engine seconds that the uncached part of a prompt takes to prefill."""
+        """Return the engine seconds of prefilling the uncached part of a prompt."""
         cached = min(cached_tokens, prompt_tokens)
         base = _base_prefill(prompt_tokens) - _base_prefill(cached)
         return base * self._factors.get((model, prompt_tokens.bit_length()), self._factor(model))
 
     @staticmethod
     def decode_seconds(tokens: float) -> float:
-        """Return the engine seconds that output tokens take in a full batch."""
-        return tokens * DECODE_SECONDS
+        """Return the engine seconds of output tokens in a full batch."""
+        return tokens * DECODE_SECONDS_PER_TOKEN
 
     def predict_paced(self, call: Call, *, pace: EnginePace, engines: int) -> Cost:
         """Predict the cost of a call on engines whose pace is published.
@@ -145,7 +146,7 @@
         Args:
             call: The call.
             pace: How fast the engines work.
-            engines: How many may share the reading of its prompt.
+            engines: Maximum number of engines that share the prefill.
         """
         reading = read_seconds(pace, call.prompt_tokens) / max(1, engines)
         return Cost(
@@ -158,17 +159,17 @@
         return self._factors.get((model, 0), 1.0)
 
     def speed(self, target: TargetName) -> float:
-        """Return how much longer than an ordinary engine a target takes; one is ordinary."""
+        """Return a target's duration relative to an average engine; more than one is slower."""
         return self._speeds.get(target, 1.0)
 
     def restart(self, target: TargetName) -> None:
-        """Forget the speed of a target that has started again."""
+        """Discard the speed of a target that has restarted."""
         self._speeds.pop(target, None)
 
     def observe_first_token(
         self, *, call: Call, target: TargetName, cached_tokens: int, seconds: float
     ) -> None:
-        """Learn from the time to the first token on a target that had nothing else to prefill."""
+        """Record the time to the first token on a target without other prefill work."""
         base = _base_prefill(call.prompt_tokens) - _base_prefill(cached_tokens)
         if not call.model or base <= 0.0:
             return
@@ -182,29 +183,29 @@
         self._speeds[target] = self._smooth(self.speed(target), _bounded(seconds / predicted))
 
     def observe_stretch(self, *, call: Call, expected: float, seconds: float) -> None:
-        """Learn how much longer than expected a first token took, other work included."""
+        """Record the ratio of the observed to the expected time to the first token under load."""
         if call.model and expected > 0.0:
             known = self._stretches.get(_kind(call), 1.0)
-            sample = min(STRETCH_MOST, max(1.0, seconds / expected))
+            sample = min(MAX_STRETCH, max(1.0, seconds / expected))
             self._stretches[_kind(call)] = known + STRETCH_SMOOTHING * (sample - known)
 
     def observe_end(self, *, call: Call, tokens: int, seconds: float) -> None:
-        """Learn from a whole answer.
+        """Record a completed answer.
 
         Args:
             call: The call.
             tokens: Its output tokens; zero for plain calls.
-            seconds: From the first token to the end, or from the start to the end of plain calls.
+            seconds: Seconds from the first token to the end; for plain calls, from the start.
         """
         if not call.model:
-            known = self._plain.get(call.service, PLAIN_SECONDS)
+            known = self._plain.get(call.service, DEFAULT_PLAIN_SECONDS)
             self._plain[call.service] = self._smooth(known, seconds)
         elif call.output_tokens:
             share = min(1.0, tokens / call.output_tokens)
-            known = self._outputs.get(call.model, EXPECTED_OUTPUT)
+            known = self._outputs.get(call.model, DEFAULT_OUTPUT_SHARE)
             self._outputs[call.model] = self._smooth(known, share)
             if tokens > 1:
-                interval = self._intervals.get(_kind(call), TOKEN_INTERVAL)
+                interval = self._intervals.get(_kind(call), DEFAULT_TOKEN_INTERVAL_SECONDS)
                 sample = seconds / (tokens - 1)
                 self._intervals[_kind(call)] = self._smooth(interval, sample)
 
--- a/src/azureswitch/serving/_fairness.py
+++ b/src/azureswitch/serving/_fairness.py
@@ -1,4 +1,4 @@
-"""What each customer has used of the fleet, here and at the other hosts."""
+"""Accounts for each customer's use of the fleet, on this host and its peers."""
 
 from collections.abc import Iterable
 from math import exp, log
@@ -11,52 +11,53 @@
 from azureswitch.serving._events import HostSelf
 
 BURST_SECONDS = 10.0
-"""Seconds of its limit that a customer may use at once."""
+"""Burst size of a customer's token bucket, in seconds of its limit."""
 
-AT_ONCE_SECONDS = 2.0
-"""Engine seconds of one charge up to which it counts against a limit at once."""
+MAX_IMMEDIATE_SECONDS = 2.0
+"""Engine seconds up to which a charge counts against the limit immediately."""
 
 SPREAD_SECONDS = 30.0
-"""Time constant over which a greater charge counts, as long work runs for long as well."""
+"""Time constant over which a larger charge is applied, as long work also runs for long."""
 
-TELL_TIMES = 3
-"""Digests in which a customer's use is told after it changed."""
+REPORT_DIGESTS = 3
+"""Number of digests that report a customer's use after a change."""
 
 RATE_SECONDS = 20.0
-"""Time constant over which a customer's use is smoothed."""
+"""Time constant of the moving average of a customer's use."""
 
-WEIGH_SECONDS = 0.5
-"""Seconds between two comparisons of the customers' use."""
+COMPARE_SECONDS = 0.5
+"""Interval between two comparisons of the customers' use."""
 
 BUSY_SHARE = 0.005
-"""Share of all use from which a customer counts as busy."""
+"""Share of the total use above which a customer counts as busy."""
 
-EXCESS = 3.0
-"""Times its share of the use at which a customer's calls go after those of the others."""
+EXCESS_FACTOR = 3.0
+"""Multiple of its fair share above which a customer's calls are demoted."""
 
 PEER_SILENCE_SECONDS = 2.0
-"""Seconds without any digest after which this host counts as cut off from its peers."""
+"""Seconds without a digest after which this host counts as partitioned from its peers."""
 
-SET_BACK_SECONDS = 1.0
-"""Seconds of a peer's silence after which a smaller number tells of a clock that was set back.
+CLOCK_STEP_SECONDS = 1.0
+"""Seconds without a digest of a peer after which a lower incarnation is taken for a restart.
 
-A process takes 0.4 s to start; messages overtake each other by milliseconds.
+The peer's clock was set back in that case.  A process takes 0.4 s to start, whereas messages
+overtake each other by milliseconds.
 """
 
 
 class Account(Struct, kw_only=True):
-    """One customer's use.
+    """A customer's use, rate limit and fair-queueing state.
 
     Attributes:
-        weight: Its share beside other busy customers.
+        weight: Its weight in fair sharing among busy customers.
         limit: Engine seconds per second over the whole fleet; zero for no limit.
         used: Engine seconds admitted here since this host started.
-        served: Engine seconds per weight, the virtual counter of fair queueing.
-        level: Engine seconds that it may use before it is refused.
-        pending: Engine seconds of long work that ``level`` has not been charged yet.
+        served: Engine seconds divided by the weight: the virtual counter of fair queueing.
+        level: Engine seconds left in its token bucket.
+        pending: Engine seconds of long work that are not deducted from ``level`` yet.
         filled: When ``level`` was last refilled.
-        rate: Engine seconds a second used lately, here and at the peers.
-        exceeds: Whether that is more than its share.
+        rate: Recent use here and at the peers, in engine seconds per second.
+        exceeds: Whether the rate exceeds its fair share by `EXCESS_FACTOR`.
     """
 
     weight: float
@@ -65,48 +66,48 @@
     served: float = 0.0
     level: float = 0.0
     pending: float = 0.0
-    filled: float = 0.0
+    refilled_at: float = 0.0
     rate: float = 0.0
     exceeds: bool = False
 
 
 class PeerUse(Struct, kw_only=True):
-    """What one peer said last of its customers' use.
+    """The last use that a peer has reported.
 
     Attributes:
-        at: When it was heard.
+        heard_at: When the last digest was received.
         started: The peer's incarnation.
-        sequence: Its last digest.
-        whole: Whether it has been heard from its start on.
-        uses: Its totals.
+        sequence: Sequence number of its last digest.
+        from_start: Whether its digests have been received since it started.
+        uses: Its totals by customer.
     """
 
-    at: float
+    heard_at: float
     started: int
     sequence: int
-    whole: bool
+    from_start: bool
     uses: dict[CustomerName, float] = field(default_factory=dict)
 
 
-def _is_news(known: PeerUse, digest: Digest, *, now: float) -> bool:
-    """Return whether a digest was sent after the last one that was heard.
+def _is_newer(known: PeerUse, digest: Digest, *, now: float) -> bool:
+    """Return whether a digest was sent after the last one received.
 
-    The numbers of processes are taken from the time of day, which may be set back between two of
-    them.  A message that overtook others is late by milliseconds only.
+    Incarnations are taken from the wall clock, which may be set back between two processes.  A
+    reordered message, in contrast, is late by milliseconds only.
     """
     if (digest.started, digest.sequence) > (known.started, known.sequence):
         return True
-    return digest.started < known.started and now - known.at > SET_BACK_SECONDS
+    return digest.started < known.started and now - known.heard_at > CLOCK_STEP_SECONDS
 
 
-def _heard_whole(known: PeerUse | None, digest: Digest) -> bool:
+def _known_from_start(known: PeerUse | None, digest: Digest) -> bool:
     if known is None:
-        return digest.sequence <= TELL_TIMES
-    return known.whole or known.started != digest.started
+        return digest.sequence <= REPORT_DIGESTS
+    return known.from_start or known.started != digest.started
 
 
 class Fairness:
-    """Limits in engine seconds and virtual counters, shared among hosts by digests.
+    """Rate limits in engine seconds and fair-queueing counters, shared among hosts by digests.
 
     Args:
         myself: This host.
@@ -117,9 +118,9 @@
         self._accounts: dict[CustomerName, Account] = {}
         self._peers: dict[HostName, PeerUse] = {}
         self._hosts = 1
-        self._heard = 0.0
-        self._weighed = 0.0
-        self._untold: dict[CustomerName, int] = {}
+        self._last_digest_at = 0.0
+        self._compared_at = 0.0
+        self._reports_due: dict[CustomerName, int] = {}
 
     @property
     def hosts(self) -> int:
@@ -127,7 +128,7 @@
         return self._hosts
 
     def adopt(self, customers: Iterable[Customer]) -> None:
-        """Take over the customers of a configuration and keep what they used."""
+        """Adopt the customers of a configuration and keep the use of those already known."""
         accounts = {}
         for customer in customers:
             account = self._accounts.get(customer.name)
@@ -140,39 +141,39 @@
         self._accounts = accounts
 
     def set_hosts(self, hosts: Iterable[HostName]) -> None:
-        """Take over the set of live hosts; a limit is shared among as many when cut off."""
+        """Set the live hosts; a partitioned host grants an equal share of each limit."""
         names = set(hosts) | {self._myself.name}
         self._hosts = len(names)
         for name in self._peers.keys() - names:
             del self._peers[name]
 
     def apply_digest(self, digest: Digest, *, now: float) -> bool:
-        """Count what a peer's customers used since its last digest.
+        """Charge what a peer's customers have used since its last digest.
 
         Returns:
             Whether the digest was new.
         """
         known = self._peers.get(digest.host)
-        if known is not None and not _is_news(known, digest, now=now):
+        if known is not None and not _is_newer(known, digest, now=now):
             return False
         same = known is not None and known.started == digest.started
         before = known.uses if known is not None and same else {}
-        whole = _heard_whole(known, digest)
+        from_start = _known_from_start(known, digest)
         uses = before
         if digest.uses:
             uses = {**before, **{use.customer: use.seconds for use in digest.uses}}
         for use in digest.uses:
-            # Of a peer that ran before it was heard, most use has been refilled long since.
-            more = use.seconds - before.get(use.customer, 0.0 if whole else use.seconds)
+            # If a peer ran before its first digest here, most of its use has been refilled since.
+            more = use.seconds - before.get(use.customer, 0.0 if from_start else use.seconds)
             self._charge_peer(use.customer, more, now=now)
         self._peers[digest.host] = PeerUse(
-            at=now,
+            heard_at=now,
             started=digest.started,
             sequence=digest.sequence,
-            whole=whole,
+            from_start=from_start,
             uses=uses,
         )
-        self._heard = now
+        self._last_digest_at = now
         return True
 
     def _charge_peer(self, name: CustomerName, seconds: float, *, now: float) -> None:
@@ -183,34 +184,34 @@
         account.served += seconds / account.weight
 
     def _share(self, now: float) -> float:
-        """Return which part of a limit this host may grant by itself."""
-        cut_off = self._hosts > 1 and now - self._heard > PEER_SILENCE_SECONDS
+        """Return the share of a limit that this host may grant."""
+        cut_off = self._hosts > 1 and now - self._last_digest_at > PEER_SILENCE_SECONDS
         return 1.0 / self._hosts if cut_off else 1.0
 
     def _charge(self, account: Account, seconds: float, *, now: float) -> None:
         self._refill(account, now=now)
-        # One review is no flood: a charge counts for no more than what counts at once.
-        account.rate += min(seconds, AT_ONCE_SECONDS) / RATE_SECONDS
-        if seconds > AT_ONCE_SECONDS:
+        # A single long call must not mark its customer as excessive, so its charge is capped.
+        account.rate += min(seconds, MAX_IMMEDIATE_SECONDS) / RATE_SECONDS
+        if seconds > MAX_IMMEDIATE_SECONDS:
             account.pending += seconds
         else:
             account.level -= seconds
 
     def _refill(self, account: Account, *, now: float) -> None:
         rate = account.limit * self._share(now)
-        passed = max(0.0, now - account.filled)
+        passed = max(0.0, now - account.refilled_at)
         due = account.pending * (1.0 - exp(-passed / SPREAD_SECONDS))
         account.pending -= due
         account.level += rate * passed - due
         account.level = min(account.level, account.limit * BURST_SECONDS * self._share(now))
-        account.filled = now
+        account.refilled_at = now
 
     def wait(self, customer: CustomerName, *, long: bool, now: float) -> float:
-        """Return after how many seconds the customer's limit permits a call; zero for now.
+        """Return the seconds until the customer's limit permits a call; zero if it does now.
 
         Args:
             customer: The customer.
-            long: Whether its prompt is long, so that what is still to be charged counts too.
+            long: Whether the prompt is long; pending charges delay long prompts only.
             now: The time.
         """
         account = self._accounts.get(customer)
@@ -220,37 +221,37 @@
         rate = account.limit * self._share(now)
         if account.level <= 0.0:
             return (1.0 - account.level) / rate
-        # Pending work stays under this where it comes in at the rate of the limit.
+        # Pending work stays below this if it arrives at the rate of the limit.
         most = rate * SPREAD_SECONDS
         if long and account.pending > most:
             return SPREAD_SECONDS * log(account.pending / most) + 1.0
         return 0.0
 
     def charge(self, customer: CustomerName, seconds: float, *, now: float) -> None:
-        """Count engine seconds that were admitted here; negative ones are given back."""
+        """Charge engine seconds admitted here; a negative value is a refund."""
         account = self._accounts.get(customer)
         if account is None:
             return
         self._charge(account, seconds, now=now)
         account.used = max(0.0, account.used + seconds)
-        self._untold[customer] = TELL_TIMES
+        self._reports_due[customer] = REPORT_DIGESTS
 
     def record_served(self, customer: CustomerName, seconds: float) -> None:
-        """Count engine seconds that were sent to a target, in the virtual counter."""
+        """Add engine seconds that were sent to a target to the virtual counter."""
         account = self._accounts.get(customer)
         if account is not None:
             account.served += seconds / account.weight
 
     def exceeds(self, customer: CustomerName, *, now: float) -> bool:
-        """Return whether a customer lately used much more than its share beside the others."""
-        if now - self._weighed >= WEIGH_SECONDS:
-            self._weigh(now)
+        """Return whether a customer's recent use is far above its fair share."""
+        if now - self._compared_at >= COMPARE_SECONDS:
+            self._compare(now)
         account = self._accounts.get(customer)
         return account is not None and account.exceeds
 
-    def _weigh(self, now: float) -> None:
-        decay = exp(-(now - self._weighed) / RATE_SECONDS)
-        self._weighed = now
+    def _compare(self, now: float) -> None:
+        decay = exp(-(now - self._compared_at) / RATE_SECONDS)
+        self._compared_at = now
         for account in self._accounts.values():
             account.rate = max(0.0, account.rate * decay)
         total = sum(account.rate for account in self._accounts.values())
@@ -258,33 +259,36 @@
         weights = sum(account.weight for account in busy)
         for account in self._accounts.values():
             share = account.weight / weights if weights else 1.0
-            account.exceeds = len(busy) > 1 and account.rate > EXCESS * share * total
+            account.exceeds = len(busy) > 1 and account.rate > EXCESS_FACTOR * share * total
 
     def served(self, customer: CustomerName) -> float:
-        """Return the virtual counter of a customer: engine seconds by weight."""
+        """Return the virtual counter of a customer: engine seconds divided by its weight."""
         account = self._accounts.get(customer)
         return account.served if account else 0.0
 
     def raise_counter(self, customer: CustomerName, floor: float) -> None:
-        """Raise the counter of a customer that was idle, so that it saves up no credit."""
+        """Raise the counter of a customer that was idle, so that it accumulates no credit."""
         account = self._accounts.get(customer)
         if account is not None:
             account.served = max(account.served, floor)
 
     def weight(self, customer: CustomerName) -> float:
-        """Return a customer's share beside other busy customers."""
+        """Return a customer's weight in fair sharing."""
         account = self._accounts.get(customer)
         return account.weight if account else 1.0
 
     def uses(self) -> tuple[CustomerUse, ...]:
-        """Return the totals for the next digest: of customers whose use changed lately.
+        """Return the totals for the next digest, of customers whose use has changed recently.
 
-        A total is told several times, since digests may be lost; the next change repairs the rest.
+        Each total is reported several times, since digests may be lost; if all of them are lost,
+        the report after the next change corrects the total.
         """
-        told = tuple(
+        reported = tuple(
             CustomerUse(customer=name, seconds=round(self._accounts[name].used, 3))
-            for name in sorted(self._untold)
+            for name in sorted(self._reports_due)
             if name in self._accounts
         )
-        self._untold = {name: times - 1 for name, times in self._untold.items() if times > 1}
-        return told
+        self._reports_due = {
+            name: times - 1 for name, times in self._reports_due.items() if times > 1
+        }
+        return reported
--- a/src/azureswitch/serving/_length.py
+++ b/src/azureswitch/serving/_length.py
@@ -1,4 +1,7 @@
-"""Keeps long prompts from standing before short ones."""
+"""Classifies prompts by length, sets priorities and reserves engines for each class.
+
+This keeps long prompts from blocking short ones.
+"""
 
 from enum import IntEnum
 from math import ceil, exp, inf, sqrt
@@ -11,50 +14,50 @@
 from azureswitch.serving._events import Call
 
 MIDDLE_FACTOR = 4
-"""Times the rule's long prompt at which a prompt counts as very long."""
+"""Multiple of the rule's long prompt at which the middle level ends and the long level begins."""
 
-SHORTEST_PROMPT = 1_024
+PRIORITY_BASE_TOKENS = 1_024
 """Prompt tokens up to which all prompts have the same priority."""
 
-DEMOTION = 2
-"""Steps by which long prompts of a customer that uses more than its share go later."""
+DEMOTION_STEPS = 2
+"""Priority steps by which long prompts of a customer above its fair share are demoted."""
 
-AGE_SHARE = 0.5
-"""Share of a prompt's own prefill after which its priority rises by one step."""
+AGEING_SHARE = 0.5
+"""Share of a prompt's prefill time after which its priority rises by one step."""
 
-AGE_LEAST = 0.5
-"""Seconds after which a priority rises by one step, at least."""
+MIN_AGEING_SECONDS = 0.5
+"""Minimum seconds after which a priority rises by one step."""
 
 DEMAND_SECONDS = 60.0
-"""Time constant over which demand is smoothed."""
+"""Time constant of the moving average of demand."""
 
-LEAST_SEEN = 5.0
-"""Seconds over which demand is taken to have been seen, at least."""
+MIN_OBSERVED_SECONDS = 5.0
+"""Minimum observation time that is assumed for a demand."""
 
 PEER_DEMAND_SECONDS = 5.0
-"""Seconds after which what a peer said of its demand is no longer used."""
+"""Seconds after which a peer's reported demand expires."""
 
-SHORT_FILL_MOST = 0.4
-"""Prefill seconds a second of short prompts on each of their engines where engines are scarce."""
+MAX_SHORT_UTILIZATION = 0.4
+"""Prefill seconds per second of short prompts on each of their engines if engines are scarce."""
 
-SHORT_MOST = 0.6
-"""Share of the engines that is kept for short prompts at most, where all are too few."""
+MAX_SHORT_SHARE = 0.6
+"""Maximum share of the engines that is reserved for short prompts if capacity is insufficient."""
 
-LEAST_DEMAND = 1e-6
-"""Prefill seconds a second that count as no demand."""
+MIN_DEMAND = 1e-6
+"""Prefill seconds per second that are added to each demand, so that shares are defined at zero."""
 
-SPLIT_LEAST = 4
-"""Engines of a pool under which every engine takes both kinds."""
+MIN_SPLIT_ENGINES = 4
+"""Minimum engines of a pool for a split; in a smaller pool every engine takes all prompts."""
 
-SETTLE_SECONDS = 3.0
-"""Seconds between two moves of one engine from one kind of work to the other."""
+REBALANCE_SECONDS = 3.0
+"""Minimum seconds between two moves of an engine between short and long prompts."""
 
-HYSTERESIS = 0.75
-"""Engines by which the wanted number must differ from the present one before it moves."""
+HYSTERESIS_ENGINES = 0.75
+"""Difference between the wanted and the present number of engines above which one is moved."""
 
 
 class Level(IntEnum):
-    """How long a prompt is; a lower level goes before a higher one."""
+    """Length class of a prompt; a lower level is scheduled before a higher one."""
 
     SHORT = 0
     MIDDLE = 1
@@ -62,7 +65,7 @@
 
 
 def level_of(call: Call, rules: Rules) -> Level:
-    """Return how long a call's prompt is, by the rules in force."""
+    """Return the length class of a call's prompt under the rules in force."""
     if call.prompt_tokens < rules.long_prompt:
         return Level.SHORT
     if call.prompt_tokens < rules.long_prompt * MIDDLE_FACTOR:
@@ -78,52 +81,56 @@
     Args:
         call: The call.
         rules: The rules in force.
-        prefill: The engine seconds of its prompt.
+        prefill: Engine seconds to prefill its prompt.
         waited: Seconds since the call arrived.
-        demoted: Whether its customer uses more than its share, so that others go first.
+        demoted: Whether its customer exceeds its fair share, so that other calls go first.
 
     Returns:
-        A step per doubling of the prompt, less a step per ageing period.  Short prompts have zero
-        or less and long ones one or more, whatever their age.
+        One step for each doubling of the prompt, less one step for each ageing period.  Short
+        prompts have zero or less and longer ones one or more, whatever their age.
     """
-    steps = (call.prompt_tokens // SHORTEST_PROMPT).bit_length()
-    aged = int(waited / ageing_period(prefill))
-    border = (rules.long_prompt // SHORTEST_PROMPT).bit_length() + 1
+    steps = (call.prompt_tokens // PRIORITY_BASE_TOKENS).bit_length()
+    raised = int(waited / ageing_period(prefill))
+    offset = (rules.long_prompt // PRIORITY_BASE_TOKENS).bit_length() + 1
     if level_of(call, rules) is Level.SHORT:
-        return 0 if demoted else min(-1, max(0, steps - aged) - border)
-    return max(1, steps - border + 1 - aged + (DEMOTION if demoted else 0))
+        return 0 if demoted else min(-1, max(0, steps - raised) - offset)
+    return max(1, steps - offset + 1 - raised + (DEMOTION_STEPS if demoted else 0))
 
 
 def ageing_period(prefill: float) -> float:
     """Return the seconds after which a waiting prompt's priority rises by one step."""
-    return max(AGE_LEAST, AGE_SHARE * prefill)
+    return max(MIN_AGEING_SECONDS, AGEING_SHARE * prefill)
 
 
-class Weighing(Struct, frozen=True, kw_only=True):
-    """How an objective weighs short prompts against long ones.
+class ObjectiveWeights(Struct, frozen=True, kw_only=True):
+    """How an objective balances short prompts against long ones.
 
     Attributes:
-        short_fill: Prefill seconds a second of short prompts that each of their engines is meant
-            for.
-        long_fill: The same of long prompts, beside their own decoding.
-        idle_worth: Engine seconds of a short prompt from which it goes to an idle engine for long
-            ones, where it runs faster and slows the next long one.
+        short_utilization: Target load of each engine for short prompts, in prefill seconds per
+            second.
+        long_utilization: The same for long prompts, in addition to their own decoding.
+        idle_threshold: Engine seconds of a short prompt above which it may use an idle engine for
+            long prompts, where it runs faster but slows the next long one.
     """
 
-    short_fill: float
-    long_fill: float
-    idle_worth: float
+    short_utilization: float
+    long_utilization: float
+    idle_threshold: float
 
 
-WEIGHINGS = {
-    Objective.SHORT_SLOWDOWN: Weighing(short_fill=0.2, long_fill=0.6, idle_worth=0.3),
-    Objective.FIRST_TOKEN_ALL: Weighing(short_fill=0.25, long_fill=0.6, idle_worth=inf),
+OBJECTIVE_WEIGHTS = {
+    Objective.SHORT_SLOWDOWN: ObjectiveWeights(
+        short_utilization=0.2, long_utilization=0.6, idle_threshold=0.3
+    ),
+    Objective.FIRST_TOKEN_ALL: ObjectiveWeights(
+        short_utilization=0.25, long_utilization=0.6, idle_threshold=inf
+    ),
 }
-"""How each objective weighs; the figures behind them stand in the decision on prompt lengths."""
+"""The weights of each objective; the decision record on prompt lengths has the measurements."""
 
 
 class _Rate(Struct, kw_only=True):
-    """A smoothed rate in engine seconds a second, right also soon after its start."""
+    """Moving average of a rate in engine seconds per second, corrected for its start-up bias."""
 
     value: float = 0.0
     at: float = 0.0
@@ -141,12 +148,12 @@
     def read(self, now: float) -> float:
         if self.begun is None:
             return 0.0
-        seen = max(LEAST_SEEN, now - self.begun)
+        seen = max(MIN_OBSERVED_SECONDS, now - self.begun)
         return self._decayed(now) / (1.0 - exp(-seen / DEMAND_SECONDS))
 
 
 class _Mix(Struct, kw_only=True):
-    """The demand for one model here and at the peers, and how its engines are split."""
+    """Demand for one model here and at the peers, and the present split of its engines."""
 
     rates: tuple[_Rate, _Rate] = field(default_factory=lambda: (_Rate(), _Rate()))
     peers: dict[HostName, tuple[float, Demand]] = field(default_factory=dict)
@@ -155,28 +162,28 @@
 
 
 class Split:
-    """How many engines of each pool take long prompts, from the mix of demand."""
+    """Decides by demand how many engines of each pool take long prompts."""
 
     def __init__(self) -> None:
         self._mixes: dict[tuple[ServiceName, str], _Mix] = {}
-        self._weighing = WEIGHINGS[Objective.SHORT_SLOWDOWN]
+        self._weights = OBJECTIVE_WEIGHTS[Objective.SHORT_SLOWDOWN]
 
     @property
-    def weighing(self) -> Weighing:
-        """How short prompts are weighed against long ones."""
-        return self._weighing
+    def weights(self) -> ObjectiveWeights:
+        """The weights of the objective in force."""
+        return self._weights
 
     def adopt(self, rules: Rules) -> None:
-        """Take over the objective."""
-        self._weighing = WEIGHINGS[rules.objective]
+        """Adopt the objective of the rules."""
+        self._weights = OBJECTIVE_WEIGHTS[rules.objective]
 
     def record_admitted(self, call: Call, *, seconds: float, short: bool, now: float) -> None:
-        """Count the prefill of an admitted call."""
+        """Add the prefill of an admitted call to the demand."""
         mix = self._mixes.setdefault((call.service, call.model), _Mix())
         mix.rates[0 if short else 1].add(seconds, now=now)
 
     def apply_digest(self, digest: Digest, *, now: float) -> None:
-        """Take over a peer's demand."""
+        """Store a peer's demand."""
         for demand in digest.demands:
             mix = self._mixes.setdefault((demand.service, demand.model), _Mix())
             mix.peers[digest.host] = (now, demand)
@@ -196,7 +203,7 @@
     def count(
         self, *, service: ServiceName, model: str, engines: int, hosts: int, now: float
     ) -> int:
-        """Return how many engines take long prompts now.
+        """Return how many engines take long prompts at present.
 
         Args:
             service: The service.
@@ -206,43 +213,43 @@
             now: The time.
 
         Returns:
-            The number; all engines where there are too few to split.
+            The number; all engines if there are too few to split.
         """
-        if engines < SPLIT_LEAST:
+        if engines < MIN_SPLIT_ENGINES:
             return engines
         mix = self._mixes.setdefault((service, model), _Mix())
-        if mix.count is not None and now - mix.moved < SETTLE_SECONDS:
+        if mix.count is not None and now - mix.moved < REBALANCE_SECONDS:
             return min(mix.count, engines - 1)
         short, long = _demand(mix, hosts=hosts, now=now)
         wanted = self._wanted(short, long, engines=engines)
         if mix.count is None:
             mix.count = round(wanted)
-        elif abs(wanted - mix.count) > HYSTERESIS:
+        elif abs(wanted - mix.count) > HYSTERESIS_ENGINES:
             mix.count += 1 if wanted > mix.count else -1
         mix.moved = now
         mix.count = max(1, min(engines - 1, mix.count))
         return mix.count
 
     def _wanted(self, short: float, long: float, *, engines: int) -> float:
-        """Return the number of engines for long prompts that the demand asks for."""
-        amply = _staffed(short, self._weighing.short_fill)
-        scarcely = _staffed(short, SHORT_FILL_MOST)
-        spare = engines - long / self._weighing.long_fill
-        if spare <= amply:
-            return engines - max(1.0, min(scarcely, engines * SHORT_MOST), spare)
-        # What neither needs is shared out by demand, so that without long prompts all are free.
-        share = (short + LEAST_DEMAND) / (short + long + 2.0 * LEAST_DEMAND)
-        return engines - amply - (spare - amply) * share
-
-
-def _staffed(demand: float, fill: float) -> float:
-    """Return the engines for a demand, with more headroom where they are few."""
-    engines = demand / fill
+        """Return the number of engines that long prompts need under the present demand."""
+        ample = _engines_for(short, self._weights.short_utilization)
+        tight = _engines_for(short, MAX_SHORT_UTILIZATION)
+        spare = engines - long / self._weights.long_utilization
+        if spare <= ample:
+            return engines - max(1.0, min(tight, engines * MAX_SHORT_SHARE), spare)
+        # Surplus engines are divided by demand, so that without long prompts short ones get all.
+        share = (short + MIN_DEMAND) / (short + long + 2.0 * MIN_DEMAND)
+        return engines - ample - (spare - ample) * share
+
+
+def _engines_for(demand: float, utilization: float) -> float:
+    """Return the engines that a demand needs, with relatively more headroom if they are few."""
+    engines = demand / utilization
     return ceil(engines + 0.5 * sqrt(engines))
 
 
 def _demand(mix: _Mix, *, hosts: int, now: float) -> tuple[float, float]:
-    """Return the demand of all hosts; those that were not heard are taken to be like the others."""
+    """Return the demand of all hosts; hosts without a recent report are assumed to be average."""
     fresh = [d for at, d in mix.peers.values() if now - at <= PEER_DEMAND_SECONDS]
     short = mix.rates[0].read(now) + sum(demand.short for demand in fresh)
     long = mix.rates[1].read(now) + sum(demand.long for demand in fresh)
--- a/src/azureswitch/serving/_penalties.py
+++ b/src/azureswitch/serving/_penalties.py
@@ -1,8 +1,8 @@
-"""What a choice of engines costs: the call itself, and those whose streams are written there.
+"""Cost functions for a choice of engines: lateness of the call and pauses of other streams.
 
-All costs are in units of one short stream that is late.  They answer the load in which many long
-prompts meet many short streams: an engine reads a prompt inside the passes in which it writes, so
-that each stream there pauses for as long.
+The unit of all costs is one late short stream.  An engine prefills a prompt within its decode
+passes, so that every stream on it pauses for as long; this matters if many long prompts share
+engines with many short streams.
 """
 
 from math import inf
@@ -16,41 +16,44 @@
 from azureswitch.serving._pace import pass_seconds
 
 ON_TIME_SHARE = 0.7
-"""Share of the objective up to which a predicted first token counts as on time."""
+"""Share of the first-token objective up to which a predicted first token counts as on time."""
 
-SAFE_PAUSE = 0.85
-"""Share of the pause that a stream bears up to which a predicted one does no harm."""
+SAFE_PAUSE_SHARE = 0.85
+"""Share of a stream's pause objective up to which a predicted pause costs nothing."""
 
-LATE_CREDIT = 0.25
+LATE_CREDIT_SHARE = 0.25
 """Share of its credit that a late answer keeps."""
 
-UNFINISHED = 1.0
-"""What it costs beside being late that a caller leaves before the first token.
+ABANDONED_COST = 1.0
+"""Additional cost, beside lateness, of a caller that disconnects before the first token.
 
-It is the rest of the credit and the work done in vain.
+It covers the remaining credit and the wasted work.
 """
 
-LEAVE_LEAST = 2.0
-"""Seconds without a first token after which callers leave, at least."""
+MIN_PATIENCE_SECONDS = 2.0
+"""Minimum seconds without a first token after which callers disconnect."""
 
-LEAVE_FACTOR = 4.0
-"""Times its objective after which a caller leaves."""
+PATIENCE_FACTOR = 4.0
+"""Multiple of its first-token objective after which a caller disconnects."""
 
-SAFE_SHARE = 0.5
-"""Share of the time until its caller leaves up to which a first token is safe to come in time."""
+SAFE_PATIENCE_SHARE = 0.5
+"""Share of the time until the caller disconnects up to which a first token carries no risk."""
 
-HASTE = 0.1
-"""Weight of being early at all, beside that of being on time."""
+LATENCY_WEIGHT = 0.1
+"""Weight of latency within the objective, relative to being on time."""
 
-SHORT_TOKENS = 10_000
-"""Prompt tokens that weigh as much as one short stream: the worth of long work by its length."""
+SHORT_STREAM_TOKENS = 10_000
+"""Prompt tokens of a long prompt that weigh as much as one short stream."""
 
-PAUSE_MEMORY = 60.0
-"""Seconds for which a pause that some call bears is remembered: routes change now and then."""
+PAUSE_TTL_SECONDS = 60.0
+"""Seconds after which a pause objective expires that no call has declared since.
+
+Routes and their objectives change at run time.
+"""
 
 
 class PauseLimits(Struct, frozen=True, kw_only=True):
-    """For how long streams may pause and still be on time, in seconds; infinity where not known.
+    """Longest pauses of streams that are on time, in seconds; infinite if not known.
 
     Attributes:
         short: Streams of short prompts.
@@ -62,76 +65,76 @@
 
 
 class PauseTracker:
-    """The tightest pauses that calls of each service have asked for lately.
+    """Tracks the tightest pause objectives that recent calls of each service have declared.
 
-    Routes declare them.  Nothing else tells how much reading the streams of a peer bear.
+    Routes declare them.  Nothing else tells how much prefill the streams of a peer tolerate.
     """
 
     def __init__(self) -> None:
         self._seen: dict[tuple[ServiceName, bool], dict[float, float]] = {}
 
     def observe(self, call: Call, *, short: bool, now: float) -> None:
-        """Note the pause that a call bears."""
+        """Record the pause objective of a call."""
         if call.gap_objective:
             self._seen.setdefault((call.service, short), {})[call.gap_objective] = now
 
-    def bounds(self, service: ServiceName, *, now: float) -> PauseLimits:
-        """Return the tightest pauses of a service's calls."""
+    def limits(self, service: ServiceName, *, now: float) -> PauseLimits:
+        """Return the tightest pause objectives of a service, for short and long prompts."""
         return PauseLimits(
             short=self._tightest(service, short=True, now=now),
             long=self._tightest(service, short=False, now=now),
         )
 
     def tightest(self, service: ServiceName, *, now: float) -> float:
-        """Return the tightest pause of all of a service's calls, in seconds."""
-        bounds = self.bounds(service, now=now)
-        return min(bounds.short, bounds.long)
+        """Return the tightest pause objective of a service, in seconds."""
+        limits = self.limits(service, now=now)
+        return min(limits.short, limits.long)
 
     def _tightest(self, service: ServiceName, *, short: bool, now: float) -> float:
         seen = self._seen.get((service, short), {})
-        return min((gap for gap, at in seen.items() if now - at <= PAUSE_MEMORY), default=inf)
+        return min((gap for gap, at in seen.items() if now - at <= PAUSE_TTL_SECONDS), default=inf)
 
 
-def lateness(call: Call, first: float, *, now: float) -> float:
-    """Return what a predicted first token loses, as a share of a call's credit and work."""
-    left = min(call.deadline - now, max(LEAVE_LEAST, LEAVE_FACTOR * call.objective))
-    lost = (1.0 - LATE_CREDIT) * _ramp(first, ON_TIME_SHARE * call.objective, call.objective)
-    return lost + UNFINISHED * _ramp(first, SAFE_SHARE * left, left)
+def lateness_cost(call: Call, first: float, *, now: float) -> float:
+    """Return the expected loss from a late first token, as a share of a call's credit and work."""
+    left = min(call.deadline - now, max(MIN_PATIENCE_SECONDS, PATIENCE_FACTOR * call.objective))
+    lost = (1.0 - LATE_CREDIT_SHARE) * _ramp(first, ON_TIME_SHARE * call.objective, call.objective)
+    return lost + ABANDONED_COST * _ramp(first, SAFE_PATIENCE_SHARE * left, left)
 
 
-def haste(call: Call, first: float) -> float:
-    """Return what it is worth to be early at all."""
-    return HASTE * first / call.objective if call.objective else HASTE * first
+def latency_cost(call: Call, first: float) -> float:
+    """Return the cost of the latency itself, also within the objective."""
+    return LATENCY_WEIGHT * first / call.objective if call.objective else LATENCY_WEIGHT * first
 
 
-def weight(tokens: int) -> float:
-    """Return the worth of long work, in short streams."""
-    return tokens / SHORT_TOKENS
+def long_weight(tokens: int) -> float:
+    """Return the weight of a long prompt, in short streams."""
+    return tokens / SHORT_STREAM_TOKENS
 
 
-def harm(there: Occupancy, pace: EnginePace, *, reading: float, pauses: PauseLimits) -> float:
-    """Return what it costs the streams at an engine that it reads for so much longer.
+def pause_cost(there: Occupancy, pace: EnginePace, *, reading: float, pauses: PauseLimits) -> float:
+    """Return the cost of additional prefill on an engine to the streams that it serves.
 
     Args:
-        there: What the engine has.
-        pace: How fast it works.
-        reading: Seconds of reading to be added.
-        pauses: For how long streams may pause.
+        there: The present occupancy of the engine.
+        pace: The engine's pace.
+        reading: Seconds of prefill to be added.
+        pauses: Longest pauses that streams tolerate.
     """
     pause = pass_seconds(pace) + there.reading + there.short_reading + reading
     cost = there.streams * _late_share(pause, pauses.short)
     if there.long_streams:
-        lost = (1.0 - LATE_CREDIT) * weight(there.tokens)
+        lost = (1.0 - LATE_CREDIT_SHARE) * long_weight(there.tokens)
         cost += lost * _late_share(pause, pauses.long)
     return cost
 
 
 def _late_share(pause: float, bound: float) -> float:
-    return 0.0 if bound == inf else _ramp(pause, SAFE_PAUSE * bound, bound)
+    return 0.0 if bound == inf else _ramp(pause, SAFE_PAUSE_SHARE * bound, bound)
 
 
 def _ramp(value: float, low: float, high: float) -> float:
-    """Return 0 up to a low value, 1 from a high one on, and the share of the way between them."""
+    """Return 0 up to ``low``, 1 from ``high`` on, and a linear interpolation in between."""
     if value <= low:
         return 0.0
     return 1.0 if value >= high else (value - low) / (high - low)
--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -1,8 +1,8 @@
-"""Chooses engines whose pace is published, by what a choice costs all who use them.
+"""Chooses engines whose pace is published, at the lowest cost to the call and to other streams.
 
-A short prompt goes to one engine, a long one is read by several.  What a choice costs is said in
-`_penalties`.  In a large fleet the engines of this host's failure domain are weighed first, whose
-work it knows exactly, and those of all only where the call would fare badly there.
+A short prompt goes to one engine; the prefill of a long one is spread over several.  `_penalties`
+defines the cost.  In a large fleet the engines of this host's failure domain, whose load it knows
+exactly, are evaluated first; all engines are evaluated only if the cost there is high.
 """
 
 from collections.abc import Callable
@@ -12,164 +12,169 @@
 from azureswitch.core import TargetName
 from azureswitch.inventory import EnginePace
 from azureswitch.serving._allowed import is_limited, is_unheard, permitted
-from azureswitch.serving._candidates import Engine, Offer, needed_tokens, wait_seconds
+from azureswitch.serving._candidates import Engine, ScoredChoice, needed_tokens, wait_seconds
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
 from azureswitch.serving._events import Call
 from azureswitch.serving._length import Level
 from azureswitch.serving._pace import read_seconds
-from azureswitch.serving._penalties import harm, haste, lateness
-from azureswitch.serving._spreading import offer_long
+from azureswitch.serving._penalties import latency_cost, lateness_cost, pause_cost
+from azureswitch.serving._spreading import choose_long
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState, Work
 
-SOUND_SHARE = 0.5
-"""Share of the targets that must not have failed lately for the others to be avoided.
+MIN_HEALTHY_SHARE = 0.5
+"""Minimum share of targets without recent failures for the other targets to be avoided.
 
-Fewer could not bear the load of all.
+Fewer targets could not carry the whole load.
 """
 
-SHORT_SHARE = 0.5
-"""Share of the tightest pause that a service's callers bear within which a short prompt is read.
+SHORT_READ_SHARE = 0.5
+"""Maximum prefill time of a short prompt, as a share of the service's tightest pause objective.
 
-Two of them that meet on one engine then delay its streams by no more than that.
+Two short prompts on one engine then delay its streams by no more than the objective.
 """
 
-USUAL_PAUSE = 0.25
-"""Seconds that take the place of that pause where no route declares one."""
+DEFAULT_PAUSE_SECONDS = 0.25
+"""Pause objective that is assumed if no route declares one."""
 
-OPENING = 0.06
-"""Cost of the first short stream on an engine, so that some stay free of them for long prompts."""
+FIRST_STREAM_COST = 0.06
+"""Cost of the first short stream on an engine; keeps some engines free for long prompts."""
 
-STREAM = 0.012
-"""Cost of each short stream beside a new one; five of them outweigh `OPENING`."""
+STREAM_COST = 0.012
+"""Cost of each short stream already on the engine; five of them equal `FIRST_STREAM_COST`."""
 
-LONG_SHARE = 0.2
-"""Share of long streams among all from which on short streams gather on few engines.
+PACKING_LONG_SHARE = 0.2
+"""Share of long streams at which short streams are fully packed onto few engines.
 
-While there are fewer, short ones are better off apart, as prompts that begin together on one engine
-are read in one pass.
+With fewer long streams it is better to spread short ones, as prompts that start together on one
+engine are prefilled in the same pass.
 """
 
-SPARE_PLACES = 3
-"""Places of an engine on which short streams gather that stay free.
+SPARE_SLOTS = 3
+"""Slots that stay free on an engine onto which short streams are packed.
 
-A pass that is a little too long makes all streams there late at once.
+A pass that takes slightly too long makes all streams on the engine late at once.
 """
 
-ELSEWHERE = 0.25
-"""Cost of leaving the engines of the own failure domain in a large fleet: what is known of others
-is seconds old.
+REMOTE_COST = 0.25
+"""Cost of leaving this host's failure domain in a large fleet, as data on others is seconds old.
 
-It is also the cost up to which others are not looked at: a quarter of a short stream that is late.
+It is also the cost up to which other domains are not evaluated: a quarter of one late short stream.
 """
 
-NEARNESS = 0.005
-"""Cost of a target in another failure domain of the region; elsewhere it is ten times that."""
+DISTANCE_COST = 0.005
+"""Cost of a target in another failure domain of the region; ten times that outside the region."""
 
-UNHEARD_WORTH = 0.1
-"""What it is worth to try an engine whose limit may have ended; more than `OPENING`."""
+PROBE_CREDIT = 0.1
+"""Credit for probing an engine whose limit may have ended; more than `FIRST_STREAM_COST`."""
 
 
-def place(
+def place_call(
     state: ServingState, record: CallRecord, *, pace: EnginePace, now: float
 ) -> Choice | None:
-    """Choose the engines for the next attempt of a call, or None where none is up."""
-    states = usable(state, record, now=now)
+    """Choose the engines for the next attempt of a call.
+
+    Returns:
+        The choice, or None if no engine is up or none can hold the prompt.
+    """
+    states = usable_targets(state, record, now=now)
     if not states:
         return None
     engines = [_engine(state, target, now=now) for target in states]
     short = _is_short(state, record.call, pace, now=now)
     state.pauses.observe(record.call, short=short, now=now)
-    weigh_any = _offer_short if short else offer_long
-    weigh = partial(weigh_any, state, record, pace=pace, now=now)
+    choose_any = _choose_short if short else choose_long
+    choose = partial(choose_any, state, record, pace=pace, now=now)
     if short:
-        offer = _best_offer(state, engines, weigh)
+        offer = _best_choice(state, engines, choose)
     else:
-        # What limited engines take is left to short prompts, and a long one can go elsewhere.
+        # Limited engines are left to short prompts, unless only they can serve a long one.
         unlimited = [engine for engine in engines if not engine.limited]
-        offer = _best_offer(state, unlimited, weigh) if unlimited else None
+        offer = _best_choice(state, unlimited, choose) if unlimited else None
         if offer is None:
-            offer = _best_offer(state, engines, weigh)
+            offer = _best_choice(state, engines, choose)
     return None if offer is None else offer.choice
 
 
 def _engine(state: ServingState, target: TargetState, *, now: float) -> Engine:
-    there = state.ledger.at(target.target.name)
+    occupancy = state.ledger.at(target.target.name)
     if not state.limits.any:
-        return Engine(target=target, there=there)
+        return Engine(target=target, occupancy=occupancy)
     return Engine(
         target=target,
-        there=there,
+        occupancy=occupancy,
         limited=is_limited(state, target, now=now),
-        unheard=is_unheard(state, target, now=now),
+        probe=is_unheard(state, target, now=now),
     )
 
 
 def _is_short(state: ServingState, call: Call, pace: EnginePace, *, now: float) -> bool:
-    """Return whether a prompt is read beside streams without many of them being late."""
+    """Return whether a prompt can be prefilled beside other streams without making many late."""
     pause = state.pauses.tightest(call.service, now=now)
     if call.gap_objective:
         pause = min(pause, call.gap_objective)
-    bearable = USUAL_PAUSE if pause == inf else pause
-    return read_seconds(pace, call.prompt_tokens) <= SHORT_SHARE * bearable
+    bearable = DEFAULT_PAUSE_SECONDS if pause == inf else pause
+    return read_seconds(pace, call.prompt_tokens) <= SHORT_READ_SHARE * bearable
 
 
-def _best_offer(
+def _best_choice(
     state: ServingState,
     engines: list[Engine],
-    weigh: Callable[[list[Engine]], Offer | None],
-) -> Offer | None:
-    """Return the best choice, among all engines only where the own failure domain has no good one.
+    choose: Callable[[list[Engine]], ScoredChoice | None],
+) -> ScoredChoice | None:
+    """Return the best choice in this failure domain, or one elsewhere that is clearly better.
 
-    Two hosts that do not hear of each other's sends choose the same idle engines.
+    Hosts of different domains do not know each other's recent sends and would pick the same idle
+    engines.
     """
     if not state.domains.divided:
-        return weigh(engines)
+        return choose(engines)
     near = [engine for engine in engines if not engine.target.nearness]
-    offer = weigh(near) if near else None
-    if offer is not None and (offer.cost <= ELSEWHERE or len(near) == len(engines)):
+    offer = choose(near) if near else None
+    if offer is not None and (offer.cost <= REMOTE_COST or len(near) == len(engines)):
         return offer
-    wider = weigh(engines)
+    wider = choose(engines)
     if offer is None or wider is None:
         return wider or offer
-    return wider if wider.cost + ELSEWHERE < offer.cost else offer
+    return wider if wider.cost + REMOTE_COST < offer.cost else offer
 
 
-def usable(state: ServingState, record: CallRecord, *, now: float) -> list[TargetState]:
-    """Return the targets of a call's pool to choose from, the doubtful ones only in need.
+def usable_targets(state: ServingState, record: CallRecord, *, now: float) -> list[TargetState]:
+    """Return the targets of a call's pool to choose from, unhealthy ones only as a fallback.
 
-    Where most targets have failed lately, failing says little of each of them, and the few others
-    could not bear what all do.
+    If most targets have failed lately, a failure says little about the single target, and the few
+    others could not carry the whole load; then all targets that this call has not tried are
+    returned.
     """
     states = permitted(state, state.fleet.states(record.pool), now=now)
     untried = [t for t in states if t.target.name not in record.failed]
     preferred = [t for t in untried if t.preferred(now)]
-    if len(preferred) >= SOUND_SHARE * len(states):
+    if len(preferred) >= MIN_HEALTHY_SHARE * len(states):
         return preferred or untried or states
     return untried or states
 
 
-def _offer_short(
+def _choose_short(
     state: ServingState,
     record: CallRecord,
     engines: list[Engine],
     *,
     pace: EnginePace,
     now: float,
-) -> Offer:
+) -> ScoredChoice:
     call = record.call
     own = read_seconds(pace, call.prompt_tokens)
-    pauses = state.pauses.bounds(call.service, now=now)
-    gathering = _gathering(engines)
+    pauses = state.pauses.limits(call.service, now=now)
+    packing = _packing_share(engines)
     best: tuple[float, float, TargetName] | None = None
     for engine in engines:
-        there = engine.there
-        first = wait_seconds(there, pace) + own
-        cost = lateness(call, first, now=now) + haste(call, first)
-        cost += harm(there, pace, reading=own, pauses=pauses)
-        cost += gathering * _apart(there, pace) + (1.0 - gathering) * _crowding(there)
-        cost += _distance(engine.target) - UNHEARD_WORTH * engine.unheard
+        occupancy = engine.occupancy
+        first = wait_seconds(occupancy, pace) + own
+        cost = lateness_cost(call, first, now=now) + latency_cost(call, first)
+        cost += pause_cost(occupancy, pace, reading=own, pauses=pauses)
+        cost += packing * _packing_cost(occupancy, pace) + (1.0 - packing) * _spread_cost(occupancy)
+        cost += _distance_cost(engine.target) - PROBE_CREDIT * engine.probe
         key = (cost, state.random.random(), engine.name)
         if best is None or key < best:
             best = key
@@ -186,31 +191,31 @@
         occupancies=(occupancy,),
         first_token=predicted,
     )
-    return Offer(cost=cost, choice=choice)
+    return ScoredChoice(cost=cost, choice=choice)
 
 
-def _gathering(engines: list[Engine]) -> float:
-    """Return how much short streams should gather, from 0 to 1, by the share of long ones.
+def _packing_share(engines: list[Engine]) -> float:
+    """Return how strongly short streams are packed, from 0 to 1, by the share of long streams.
 
-    An engine without short streams reads long prompts at no cost.  It answers the load in which
-    many long prompts come while short streams are few: spread over all engines, two or three short
-    streams stood beside each long prompt, and paused for 1 s.
+    An engine without short streams prefills long prompts without delaying anyone.  With many long
+    prompts and few short streams spread over all engines, two or three short streams shared an
+    engine with each long prompt and paused for 1 s.
     """
-    long = sum(engine.there.long_streams for engine in engines)
-    total = long + sum(engine.there.streams for engine in engines)
-    return min(1.0, long / (LONG_SHARE * total)) if total else 0.0
+    long = sum(engine.occupancy.long_streams for engine in engines)
+    total = long + sum(engine.occupancy.streams for engine in engines)
+    return min(1.0, long / (PACKING_LONG_SHARE * total)) if total else 0.0
 
 
-def _apart(there: Occupancy, pace: EnginePace) -> float:
-    """Return how far an engine is from the number of streams that gather on one."""
-    wanted = max(1, pace.slots - SPARE_PLACES)
-    return STREAM * abs(wanted - there.streams - there.long_streams)
+def _packing_cost(occupancy: Occupancy, pace: EnginePace) -> float:
+    """Return the cost of the distance between an engine's streams and the packing target."""
+    wanted = max(1, pace.slots - SPARE_SLOTS)
+    return STREAM_COST * abs(wanted - occupancy.streams - occupancy.long_streams)
 
 
-def _crowding(there: Occupancy) -> float:
-    opening = OPENING if not there.streams else 0.0
-    return opening + STREAM * there.streams
+def _spread_cost(occupancy: Occupancy) -> float:
+    opening = FIRST_STREAM_COST if not occupancy.streams else 0.0
+    return opening + STREAM_COST * occupancy.streams
 
 
-def _distance(target: TargetState) -> float:
-    return (0.0, NEARNESS, 10.0 * NEARNESS)[target.nearness]
+def _distance_cost(target: TargetState) -> float:
+    return (0.0, DISTANCE_COST, 10.0 * DISTANCE_COST)[target.nearness]
--- a/src/azureswitch/serving/_queue.py
+++ b/src/azureswitch/serving/_queue.py
@@ -1,4 +1,4 @@
-"""Admitted calls that wait for a target, fair by customer."""
+"""Queue of admitted calls that wait for a target, fair among customers."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -15,7 +15,7 @@
     Attributes:
         service: The service.
         model: The model; empty for plain services.
-        level: How long their prompts are.
+        level: Length class of their prompts.
     """
 
     service: ServiceName
@@ -23,38 +23,38 @@
     level: Level
 
 
-class _Waiting(Struct, frozen=True, kw_only=True):
+class _QueuedCall(Struct, frozen=True, kw_only=True):
     lane: Lane
     customer: CustomerName
     seconds: float
 
 
 class WaitingQueue:
-    """Per lane one first-in first-out queue per customer."""
+    """One FIFO queue per lane and customer."""
 
     def __init__(self) -> None:
         self._lanes: dict[Lane, dict[CustomerName, deque[CallId]]] = {}
-        self._places: dict[CallId, _Waiting] = {}
+        self._calls: dict[CallId, _QueuedCall] = {}
         self._blocked: dict[Lane, float] = {}
         self._seconds: dict[tuple[Lane, CustomerName], float] = {}
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._calls)
 
     def __contains__(self, call: CallId) -> bool:
-        return call in self._places
+        return call in self._calls
 
     @property
     def lanes(self) -> tuple[Lane, ...]:
-        """The lanes in which calls wait, those with the shortest prompts first."""
+        """The lanes with waiting calls, shortest prompts first."""
         return tuple(sorted(self._lanes, key=lambda lane: lane.level))
 
     def has_ready(self, lane: Lane, *, now: float) -> bool:
-        """Return whether calls wait in a lane that is not blocked."""
+        """Return whether a lane has waiting calls and is not blocked."""
         return lane in self._lanes and now >= self._blocked.get(lane, 0.0)
 
     def block(self, lane: Lane, *, until: float) -> None:
-        """Do not look at a lane for a while."""
+        """Skip a lane until a given time."""
         self._blocked[lane] = until
 
     def customers(self, lane: Lane) -> Iterator[CustomerName]:
@@ -62,7 +62,7 @@
         yield from self._lanes.get(lane, {})
 
     def unblock(self) -> None:
-        """Look at all lanes again."""
+        """Clear the blocks of all lanes."""
         self._blocked.clear()
 
     def count(self, lane: Lane, customer: CustomerName) -> int:
@@ -83,33 +83,33 @@
             customer: Whose call it is.
             call: The call.
             seconds: Its engine seconds.
-            first: Whether it goes before the customer's others, as it was sent once already.
+            first: Whether it goes ahead of the customer's other calls, as it was sent before.
         """
         calls = self._lanes.setdefault(lane, {}).setdefault(customer, deque())
         if first:
             calls.appendleft(call)
         else:
             calls.append(call)
-        self._places[call] = _Waiting(lane=lane, customer=customer, seconds=seconds)
+        self._calls[call] = _QueuedCall(lane=lane, customer=customer, seconds=seconds)
         self._seconds[lane, customer] = self.seconds(lane, customer) + seconds
 
     def heads(self, lane: Lane, served: Callable[[CustomerName], float]) -> list[CallId]:
-        """Return the next call of each customer, that of the least served first."""
+        """Return the next call of each customer, that of the least served customer first."""
         customers = self._lanes.get(lane, {})
         return [customers[name][0] for name in sorted(customers, key=lambda n: (served(n), n))]
 
     def remove(self, call: CallId) -> bool:
-        """Take a call out and return whether it waited."""
-        place = self._places.pop(call, None)
-        if place is None:
+        """Remove a call and return whether it was queued."""
+        queued = self._calls.pop(call, None)
+        if queued is None:
             return False
-        customers = self._lanes[place.lane]
-        customers[place.customer].remove(call)
-        self._seconds[place.lane, place.customer] -= place.seconds
-        if not customers[place.customer]:
-            del customers[place.customer]
-            del self._seconds[place.lane, place.customer]
+        customers = self._lanes[queued.lane]
+        customers[queued.customer].remove(call)
+        self._seconds[queued.lane, queued.customer] -= queued.seconds
+        if not customers[queued.customer]:
+            del customers[queued.customer]
+            del self._seconds[queued.lane, queued.customer]
         if not customers:
-            del self._lanes[place.lane]
-            self._blocked.pop(place.lane, None)
+            del self._lanes[queued.lane]
+            self._blocked.pop(queued.lane, None)
         return True
--- a/src/azureswitch/serving/_routing.py
+++ b/src/azureswitch/serving/_routing.py
@@ -1,50 +1,50 @@
-"""Chooses the target for a call: little waiting, a cached prefix, a near place."""
+"""Chooses the target for a call by its backlog, cached prefix, load and distance."""
 
 from azureswitch.core import TargetName
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
 from azureswitch.serving._length import Level
-from azureswitch.serving._placement import place, usable
+from azureswitch.serving._placement import place_call, usable_targets
 from azureswitch.serving._spans import choose_spans
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState, Work
 
-CHOICES = {Level.SHORT: 4, Level.MIDDLE: 8, Level.LONG: 8}
-"""Targets drawn at random, of which the best is taken; looking at all would make hosts herd."""
+SAMPLE_SIZES = {Level.SHORT: 4, Level.MIDDLE: 8, Level.LONG: 8}
+"""Targets that are sampled at random; if all were compared, hosts would herd on the same one."""
 
-CACHED_CHOICES = 2
-"""Targets looked at beside those because they hold the longest part of the prompt's prefix."""
+MAX_CACHED_CANDIDATES = 2
+"""Additional candidates that hold the longest cached part of the prompt's prefix."""
 
-NEARNESS_SECONDS = (0.0, 0.001, 0.05)
-"""Seconds that a target in this place, in this region or elsewhere costs."""
+DISTANCE_SECONDS = (0.0, 0.001, 0.05)
+"""Penalty in seconds for a target in this failure domain, in this region and elsewhere."""
 
-BESIDE_SHARE = 0.5
-"""Share of its own time that a prefill takes longer beside requests that decode."""
+DECODE_SLOWDOWN = 0.5
+"""Share by which a prefill takes longer if any request decodes on the engine."""
 
-RUNNING_SHARE = 0.02
-"""Share of its own time that a prefill takes longer for each of them."""
+REQUEST_SLOWDOWN = 0.02
+"""Share by which a prefill takes longer for each request that decodes on the engine."""
 
-BATCH = 16
-"""Running requests beside which further ones make little difference to a prefill."""
+MAX_SLOWING_REQUESTS = 16
+"""Number of decoding requests above which further ones hardly slow a prefill."""
 
-ROOM = {Level.SHORT: 0.5, Level.MIDDLE: 1.0, Level.LONG: 1.0}
-"""Engine seconds of prompts of the same or a lower level over which an engine gets no more."""
+MAX_BACKLOG_SECONDS = {Level.SHORT: 0.5, Level.MIDDLE: 1.0, Level.LONG: 1.0}
+"""Backlog of the same or a lower level, in engine seconds, above which an engine gets no more."""
 
-SPILL_ROOM = 0.25
-"""Engine seconds of waiting over which a short prompt also goes to engines with long ones."""
+SPILL_SECONDS = 0.25
+"""Backlog in engine seconds above which a short prompt may spill to engines for long ones."""
 
 
 def choose(state: ServingState, record: CallRecord, *, now: float) -> Choice | None:
     """Choose the targets for the next attempt of a call.
 
     Returns:
-        The choice, or None where no target has room now.
+        The choice, or None if no target has capacity now.
     """
     call = record.call
     if not call.model:
         return _choose_plain(state, record, now=now)
     if record.pool.pace is not None:
-        return place(state, record, pace=record.pool.pace, now=now)
+        return place_call(state, record, pace=record.pool.pace, now=now)
     tokens = call.prompt_tokens + call.output_tokens
     if tokens > record.pool.longest:
         targets = choose_spans(state, record, now=now)
@@ -60,7 +60,7 @@
 
 
 def _choose_plain(state: ServingState, record: CallRecord, *, now: float) -> Choice | None:
-    candidates = usable(state, record, now=now)
+    candidates = usable_targets(state, record, now=now)
     if not candidates:
         return None
     best = min(
@@ -85,7 +85,7 @@
 def _choose_engine(
     state: ServingState, record: CallRecord, *, tokens: int, now: float
 ) -> Choice | None:
-    """Choose among the engines for prompts of this length; short ones may spill to the others."""
+    """Choose among the engines for prompts of this length; short prompts may spill to the rest."""
     names = record.pool.targets
     count = state.split.count(
         service=record.pool.service,
@@ -98,18 +98,18 @@
         return _best(state, record, names[:count], tokens=tokens, now=now)
     short = names[count:] or names
     if state.fairness.exceeds(record.call.customer, now=now):
-        # A flood goes where long prompts are, so that it stays away from the others' short ones.
+        # Excess load goes to the engines for long prompts, away from other customers' short ones.
         short = names[:count]
     best = _best(state, record, short, tokens=tokens, now=now)
-    if best is None or best.wait > SPILL_ROOM:
+    if best is None or best.wait > SPILL_SECONDS:
         others = names[count:] if short == names[:count] else names[:count]
-        spilt = _best(state, record, others, tokens=tokens, now=now)
-        if spilt is not None and (best is None or spilt.wait < best.wait):
-            return spilt
-    elif best.running and best.work.seconds > state.split.weighing.idle_worth:
-        spilt = _best(state, record, names[:count], tokens=tokens, now=now)
-        if spilt is not None and not spilt.running and not spilt.wait:
-            return spilt
+        spilled = _best(state, record, others, tokens=tokens, now=now)
+        if spilled is not None and (best is None or spilled.wait < best.wait):
+            return spilled
+    elif best.running and best.work.seconds > state.split.weights.idle_threshold:
+        spilled = _best(state, record, names[:count], tokens=tokens, now=now)
+        if spilled is not None and not spilled.running and not spilled.wait:
+            return spilled
     return best
 
 
@@ -124,12 +124,12 @@
     cached = state.affinity.cached(record.call.prefix)
     best: tuple[float, Choice] | None = None
     for target in _candidates(state, record, names, now=now, cached=cached):
-        choice = _weigh(state, record, target, cached=cached.get(target.target.name, 0), now=now)
+        choice = _evaluate(state, record, target, cached=cached.get(target.target.name, 0), now=now)
         if choice is None or not _has_room(state, record, target, tokens=tokens, now=now):
             continue
         score = choice.wait + choice.work.seconds * state.costs.speed(target.target.name)
-        score += NEARNESS_SECONDS[target.nearness]
-        score += _beside(choice.work, running=choice.running)
+        score += DISTANCE_SECONDS[target.nearness]
+        score += _decode_delay(choice.work, running=choice.running)
         if best is None or score < best[0]:
             best = (score, choice)
     return best[1] if best else None
@@ -145,19 +145,19 @@
     return short or state.fleet.takes_long(name, call=record.call.id, now=now)
 
 
-def _beside(work: Work, *, running: int) -> float:
-    """Return the seconds that a prefill takes longer where others decode in the same steps."""
+def _decode_delay(work: Work, *, running: int) -> float:
+    """Return the seconds by which requests that decode in the same steps prolong a prefill."""
     if not running:
         return 0.0
-    return work.seconds * (BESIDE_SHARE + RUNNING_SHARE * min(BATCH, running))
+    return work.seconds * (DECODE_SLOWDOWN + REQUEST_SLOWDOWN * min(MAX_SLOWING_REQUESTS, running))
 
 
-def _weigh(
+def _evaluate(
     state: ServingState, record: CallRecord, target: TargetState, *, cached: int, now: float
 ) -> Choice | None:
     call = record.call
     wait = target.waits(now=now, level=record.level)
-    if wait > ROOM[record.level]:
+    if wait > MAX_BACKLOG_SECONDS[record.level]:
         return None
     seconds = state.costs.prefill_seconds(
         model=call.model, prompt_tokens=call.prompt_tokens, cached_tokens=cached
@@ -180,16 +180,16 @@
     now: float,
     cached: dict[TargetName, int] | None = None,
 ) -> list[TargetState]:
-    """Return a few targets to choose from: some at random and those with a cached prefix."""
-    choices = CHOICES[record.level]
+    """Return candidate targets: a random sample and those with the longest cached prefix."""
+    choices = SAMPLE_SIZES[record.level]
     drawn = names if len(names) <= choices else tuple(state.random.sample(names, choices))
     held = {name: cached[name] for name in names if name in cached} if cached else {}
-    extra = sorted(held, key=lambda name: (-held[name], name))[:CACHED_CHOICES]
+    extra = sorted(held, key=lambda name: (-held[name], name))[:MAX_CACHED_CANDIDATES]
     usable = _usable(state, record, (*drawn, *extra), now=now)
     if usable:
         return usable
     everything = _usable(state, record, record.pool.targets, now=now)
-    # With nothing else left, a target that failed before is better than none.
+    # As a last resort, include targets that have failed before.
     return everything or [t for t in state.fleet.states(record.pool) if t.usable(now)]
 
 
--- a/src/azureswitch/serving/_spans.py
+++ b/src/azureswitch/serving/_spans.py
@@ -4,23 +4,23 @@
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState
 
-MORE_MEMBERS = 2
-"""Engines over the fewest that a prompt is spread over where memory is short."""
+MAX_EXTRA_ENGINES = 2
+"""Maximum engines beyond the minimum that a prompt is spread over if memory is scarce."""
 
-SPAN_FILL = 0.9
-"""Share of an engine's memory that a span may fill."""
+MAX_SPAN_FILL = 0.9
+"""Maximum share of an engine's memory that a span may fill."""
 
 
 def choose_spans(
     state: ServingState, record: CallRecord, *, now: float
 ) -> tuple[TargetName, ...] | None:
-    """Choose as few engines as can hold equal spans of a prompt now.
+    """Choose the smallest set of engines that can hold equal spans of a prompt now.
 
-    All hosts go through the engines in the same order, so that two that reach for a set at the
-    same time mostly meet at its first engine, where one of them is refused at once.
+    All hosts try the engines in the same order.  Two hosts that compete for a set therefore mostly
+    conflict at its first engine, which refuses one of them immediately.
 
     Returns:
-        The engines in order of name, or None where too few have room.
+        The engines in order of name, or None if too few have enough memory.
     """
     call = record.call
     tokens = call.prompt_tokens + call.output_tokens
@@ -28,8 +28,8 @@
     usable = [t for t in states if t is not None and t.usable(now)]
     usable = [t for t in usable if t.target.name not in record.failed]
     allowed = [t for t in usable if state.fleet.takes_long(t.target.name, call=call.id, now=now)]
-    fewest = max(2, -(-tokens // max(1, int(record.pool.longest * SPAN_FILL))))
-    for count in range(fewest, min(len(allowed), fewest + MORE_MEMBERS) + 1):
+    fewest = max(2, -(-tokens // max(1, int(record.pool.longest * MAX_SPAN_FILL))))
+    for count in range(fewest, min(len(allowed), fewest + MAX_EXTRA_ENGINES) + 1):
         fitting = [t for t in allowed if t.free_tokens() >= -(-tokens // count)]
         if len(fitting) >= count:
             state.fleet.unsave(call.id)
@@ -46,11 +46,11 @@
     *,
     now: float,
 ) -> None:
-    """Keep long prompts off the engines that are nearest to having room."""
+    """Reserve the engines with the most free memory, so that other long prompts avoid them."""
     if not state.fleet.may_save(now=now):
         state.fleet.unsave(record.call.id)
         return
-    emptiest = sorted(allowed, key=lambda t: (-t.free_tokens(), t.target.name))[:count]
-    saved = [t.target.name for t in emptiest]
+    most_free = sorted(allowed, key=lambda t: (-t.free_tokens(), t.target.name))[:count]
+    saved = [t.target.name for t in most_free]
     state.fleet.unsave(record.call.id)
     state.fleet.save(saved, call=record.call.id, now=now)
--- a/src/azureswitch/serving/_spreading.py
+++ b/src/azureswitch/serving/_spreading.py
@@ -1,4 +1,4 @@
-"""Spreads the reading of a long prompt over several engines, and holds it on as few as can."""
+"""Spreads the prefill of a long prompt over several engines and holds it on as few as possible."""
 
 from heapq import nsmallest
 from math import ceil, inf
@@ -6,128 +6,135 @@
 from msgspec import Struct
 
 from azureswitch.inventory import EnginePace
-from azureswitch.serving._candidates import Engine, Offer, needed_tokens, wait_seconds
+from azureswitch.serving._candidates import Engine, ScoredChoice, needed_tokens, wait_seconds
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
 from azureswitch.serving._events import Call
 from azureswitch.serving._length import Level
 from azureswitch.serving._pace import pass_seconds, read_seconds
-from azureswitch.serving._penalties import PauseLimits, harm, haste, lateness, weight
+from azureswitch.serving._penalties import (
+    PauseLimits,
+    latency_cost,
+    lateness_cost,
+    long_weight,
+    pause_cost,
+)
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import Work
 
-MOST_PARTS = 16
-"""Engines over which the reading of one prompt is spread at most; engines take no more helpers."""
+MAX_PARTS = 16
+"""Maximum engines that share the prefill of one prompt; engines accept no more helpers."""
 
 LONG_CANDIDATES = 64
-"""Engines weighed for a long prompt, the least busy of a larger fleet: four times `MOST_PARTS`."""
+"""Maximum candidates for a long prompt, the least busy of a fleet: four times `MAX_PARTS`."""
 
-LEAST_PART = 0.03
-"""Seconds of reading below which a part is not split further: the gain drowns in a step's time."""
+MIN_PART_SECONDS = 0.03
+"""Minimum seconds of prefill per part; below that, the duration of a step outweighs the gain."""
 
-BESIDE_LONG = 0.5
-"""How badly an engine suits a long prompt for each long stream that it writes."""
+LONG_STREAM_BUSYNESS = 0.5
+"""Busyness of an engine for each long stream that it decodes; a short stream counts one."""
 
-KEPT_SHARE = 0.2
-"""Share of the engines that stay free of long reading, however much there is of it."""
+SHORT_RESERVED_SHARE = 0.2
+"""Minimum share of the engines that is kept free of long prefill under any load."""
 
-SHORT_FILL = 0.9
-"""Share of their places that short streams may fill on the engines kept for them.
+SHORT_SLOT_FILL = 0.9
+"""Share of the slots that short streams may fill on the engines reserved for them.
 
-The less, the fewer engines are left for long prompts.
+A lower share leaves fewer engines for long prompts.
 """
 
-PART = 0.005
-"""Cost of each further engine that a long prompt occupies.
+PART_COST = 0.005
+"""Cost of each additional engine that a long prompt occupies.
 
-Engines read the parts of helpers first: what is spread little waits behind what comes later.
+Engines prefill the parts of helpers first, so a prompt on few engines waits behind later ones that
+are spread more widely.
 """
 
-LONG_HASTE = 10.0
-"""How much more being early weighs for a long prompt than for a short one.
+LONG_LATENCY_FACTOR = 10.0
+"""Factor on the latency cost of a long prompt relative to a short one.
 
-It frees its engines sooner, which matters to all that come after it.
+A long prompt that finishes earlier frees its engines for all later prompts.
 """
 
-MOST_HOLDERS = 8
-"""Engines over whose memory one prompt is spread at most; a million tokens take three."""
+MAX_HOLDERS = 8
+"""Maximum engines that hold one prompt together; a million tokens take three."""
 
-HOLD_FILL = 0.85
-"""Share of an engine's free memory that is set aside at most, as others may send meanwhile."""
+MAX_RESERVED_FILL = 0.85
+"""Maximum share of an engine's free memory to reserve, as other hosts may send meanwhile."""
 
 
 class _Spread(Struct, frozen=True, kw_only=True):
-    """A way to spread a long prompt over engines.
+    """A distribution of a long prompt over engines.
 
     Attributes:
-        engines: The engines that read it; the first one answers.
-        holders: How many of them hold it, from the first on.
-        part: Seconds that each of them reads.
+        engines: The engines that prefill it; the first one answers.
+        holders: Number of engines that hold it in memory, counted from the first.
+        part: Seconds of prefill on each engine.
         first_token: Predicted seconds to the first token.
-        harm: What it costs the streams there.
+        pause_cost: Cost of the pauses of other streams on these engines.
     """
 
     engines: tuple[Engine, ...]
     holders: int
     part: float
     first_token: float
-    harm: float
+    pause_cost: float
 
 
-def offer_long(
+def choose_long(
     state: ServingState,
     record: CallRecord,
     engines: list[Engine],
     *,
     pace: EnginePace,
     now: float,
-) -> Offer | None:
+) -> ScoredChoice | None:
     call = record.call
     work = read_seconds(pace, call.prompt_tokens)
-    pauses = state.pauses.bounds(call.service, now=now)
+    pauses = state.pauses.limits(call.service, now=now)
     order = _candidates(state, call, engines)
     holders = _holder_count(call, order)
     if holders is None:
         return None
-    most = max(holders, min(MOST_PARTS, len(order), int(work / LEAST_PART)))
-    kept = _kept_for_short(engines, pace)
+    most = max(holders, min(MAX_PARTS, len(order), int(work / MIN_PART_SECONDS)))
+    reserved_engines = _reserved_for_short(engines, pace)
     best: tuple[float, _Spread] | None = None
     for count in range(holders, most + 1):
         part = work / count
         blocks = _blocks(part, pace, pauses)
-        if best is not None and blocks and len(engines) - count < kept:
+        if best is not None and blocks and len(engines) - count < reserved_engines:
             continue
         spread = _spread(call, order, pace, pauses, count=count, holders=holders, part=part)
-        cost = weight(call.prompt_tokens) * lateness(call, spread.first_token, now=now)
-        cost += LONG_HASTE * haste(call, spread.first_token)
-        cost += spread.harm + PART * (count - 1)
+        cost = long_weight(call.prompt_tokens) * lateness_cost(call, spread.first_token, now=now)
+        cost += LONG_LATENCY_FACTOR * latency_cost(call, spread.first_token)
+        cost += spread.pause_cost + PART_COST * (count - 1)
         if best is None or cost < best[0]:
             best = (cost, spread)
     assert best is not None  # There is at least one count.
-    return Offer(cost=best[0], choice=_long_choice(call, best[1]))
+    return ScoredChoice(cost=best[0], choice=_long_choice(call, best[1]))
 
 
 def _candidates(state: ServingState, call: Call, engines: list[Engine]) -> list[Engine]:
-    """Return the engines to weigh for a long prompt: near ones first, and else at random."""
+    """Return the candidates for a long prompt by distance, in random order at equal distance."""
     order = sorted(engines, key=lambda e: (e.target.nearness, state.random.random()))
     if len(order) <= LONG_CANDIDATES:
         return order
-    least = nsmallest(LONG_CANDIDATES, order, key=lambda e: _busyness(e.there))
-    # What only busier engines have memory for goes to them.
+    least = nsmallest(LONG_CANDIDATES, order, key=lambda e: _busyness(e.occupancy))
+    # If the least busy engines lack memory for the prompt, consider all of them.
     return order if _holder_count(call, least) is None else least
 
 
 def _blocks(part: float, pace: EnginePace, pauses: PauseLimits) -> bool:
-    """Return whether short streams do not bear a part; while none were seen, they bear none."""
+    """Return whether a part delays short streams too long; assumed if no objective is known."""
     return pauses.short == inf or pass_seconds(pace) + part > pauses.short
 
 
 def _holder_count(call: Call, engines: list[Engine]) -> int | None:
-    """Return how many engines at least hold a prompt together, or None where they cannot.
+    """Return the minimum number of engines that can hold a prompt, or None if none suffices.
 
-    The first one answers; at the others memory is set aside for even parts.
+    The first one answers; on the others, memory is reserved for equal parts.
     """
-    for count in range(1, min(MOST_HOLDERS, len(engines)) + 1):
+    for count in range(1, min(MAX_HOLDERS, len(engines)) + 1):
         fitting = [engine for engine in engines if _holds(call, engine, holders=count)]
         if len(fitting) >= count:
             return count
@@ -136,9 +143,9 @@
 
 def _holds(call: Call, engine: Engine, *, holders: int) -> bool:
     if engine.limited and holders > 1:
-        # Orders that set memory aside, and renew that, are requests as well.
+        # Reserving memory and renewing the reservation are requests that count against the limit.
         return False
-    fill = 1.0 if holders == 1 else HOLD_FILL
+    fill = 1.0 if holders == 1 else MAX_RESERVED_FILL
     return needed_tokens(call) / holders <= engine.free_tokens * fill
 
 
@@ -152,12 +159,12 @@
     holders: int,
     part: float,
 ) -> _Spread:
-    """Choose so many engines, those that a part of the prompt harms least; holders come first.
+    """Choose ``count`` engines on which a part costs least; holders come first.
 
-    Which engines suit depends on the part: short streams bear less reading than long ones do.
+    The ranking depends on the part, as short streams tolerate shorter pauses than long ones.
     """
-    harms = {e.name: harm(e.there, pace, reading=part, pauses=pauses) for e in order}
-    ranked = sorted(order, key=lambda e: harms[e.name] + _busyness(e.there))
+    costs = {e.name: pause_cost(e.occupancy, pace, reading=part, pauses=pauses) for e in order}
+    ranked = sorted(order, key=lambda e: costs[e.name] + _busyness(e.occupancy))
     holding = [engine for engine in ranked if _holds(call, engine, holders=holders)][:holders]
     held = {engine.name for engine in holding}
     others = [engine for engine in ranked if engine.name not in held]
@@ -166,21 +173,26 @@
         engines=tuple(chosen),
         holders=holders,
         part=part,
-        first_token=max(wait_seconds(engine.there, pace) for engine in chosen) + part,
-        harm=sum(harms[engine.name] for engine in chosen),
+        first_token=max(wait_seconds(engine.occupancy, pace) for engine in chosen) + part,
+        pause_cost=sum(costs[engine.name] for engine in chosen),
     )
 
 
-def _busyness(there: Occupancy) -> float:
-    """Return how badly an engine suits a long prompt: its short streams, and what it reads."""
-    return there.streams + there.reading + there.short_reading + BESIDE_LONG * there.long_streams
+def _busyness(occupancy: Occupancy) -> float:
+    """Return how busy an engine is with streams and prefill, as a rank for long prompts."""
+    return (
+        occupancy.streams
+        + occupancy.reading
+        + occupancy.short_reading
+        + LONG_STREAM_BUSYNESS * occupancy.long_streams
+    )
 
 
-def _kept_for_short(engines: list[Engine], pace: EnginePace) -> int:
-    """Return how many engines a prompt that blocks them leaves to short ones."""
-    streams = sum(engine.there.streams for engine in engines)
-    filled = ceil(streams / (SHORT_FILL * pace.slots))
-    return max(ceil(KEPT_SHARE * len(engines)), filled)
+def _reserved_for_short(engines: list[Engine], pace: EnginePace) -> int:
+    """Return how many engines a blocking prompt must leave to short ones."""
+    streams = sum(engine.occupancy.streams for engine in engines)
+    filled = ceil(streams / (SHORT_SLOT_FILL * pace.slots))
+    return max(ceil(SHORT_RESERVED_SHARE * len(engines)), filled)
 
 
 def _long_choice(call: Call, spread: _Spread) -> Choice:
@@ -193,7 +205,7 @@
         )
         for index, name in enumerate(names)
     )
-    # What the others do not hold stays at the first one, for which nothing is set aside.
+    # The first engine holds the remainder; nothing is reserved on it.
     reserved = (0, *held[1:]) if spread.holders > 1 else ()
     return Choice(
         targets=names,
--- a/tests/serving/test_penalties.py
+++ b/tests/serving/test_penalties.py
@@ -7,7 +7,7 @@
 from azureswitch.core import CallId, CustomerName, ServiceName, TargetName
 from azureswitch.inventory import EnginePace
 from azureswitch.serving import Call, Occupancy
-from azureswitch.serving._penalties import PAUSE_MEMORY, PauseLimits, PauseTracker, harm
+from azureswitch.serving._penalties import PAUSE_TTL_SECONDS, PauseLimits, PauseTracker, pause_cost
 
 SERVICE = ServiceName("pool")
 TARGET = TargetName("e1")
@@ -26,7 +26,7 @@
     )
 
 
-class TestHarm:
+class TestPauseCost:
     """What it costs to let an engine read for longer."""
 
     @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
             pytest.param(5, 0, 25_000, 0.18, PAUSES, 0.5, 4.5, id="between"),
         ],
     )
-    def test_harm(
+    def test_cost(
         self,
         streams: int,
         long: int,
@@ -52,10 +52,10 @@
     ) -> None:
         """It grows with the streams there that pause for longer than they bear."""
         there = Occupancy(target=TARGET, streams=streams, long_streams=long, tokens=tokens)
-        assert least <= harm(there, PACE, reading=reading, pauses=pauses) <= most
+        assert least <= pause_cost(there, PACE, reading=reading, pauses=pauses) <= most
 
 
-class TestPauseBounds:
+class TestPauseTracker:
     """For how long the streams of a service may pause."""
 
     @pytest.mark.parametrize(
@@ -64,15 +64,15 @@
             ([], 0.0, PauseLimits()),
             ([(0.0, 0.25, True)], 1.0, PauseLimits(short=0.25)),
             ([(0.0, 1.0, False), (0.0, 0.6, False)], 1.0, PauseLimits(long=0.6)),
-            ([(0.0, 0.25, True)], PAUSE_MEMORY + 1.0, PauseLimits()),
+            ([(0.0, 0.25, True)], PAUSE_TTL_SECONDS + 1.0, PauseLimits()),
             ([(0.0, 0.0, True)], 1.0, PauseLimits(short=inf)),
         ],
     )
-    def test_bounds(
+    def test_limits(
         self, seen: list[tuple[float, float, bool]], now: float, expected: PauseLimits
     ) -> None:
         """The tightest that calls have asked for lately counts."""
-        bounds = PauseTracker()
+        tracker = PauseTracker()
         for at, gap, short in seen:
-            bounds.observe(call(gap), short=short, now=at)
-        assert bounds.bounds(SERVICE, now=now) == expected
+            tracker.observe(call(gap), short=short, now=at)
+        assert tracker.limits(SERVICE, now=now) == expected
