--- a/tests/serving/test_failover.py
+++ b/tests/serving/test_failover.py
@@ -1,4 +1,4 @@
-"""A call that is called off at one target, or loses it, goes on where there is another one."""
+"""Failover: a call that loses its target, or is cancelled there, continues at another target."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 
 
 def driver_with_sent_call(call: Call, targets: tuple[Target, ...]) -> Driver:
-    """Return a driver whose one call has been sent."""
+    """Return a driver with one started call."""
     driver = Driver(config=snapshot(targets=targets))
     driver.arrive(call)
     driver.send(ClaimGranted(now=0.0, call=CALL))
@@ -38,20 +38,20 @@
 
 
 def make_unreachable(driver: Driver) -> None:
-    """Let the target of the first attempt answer no poll for long enough."""
+    """Make the target of the first attempt unreachable until its attempts count as lost."""
     (first,) = only(StartAttempt, driver.effects)
     for now in (0.0, LOST_SECONDS + 0.1):
         driver.send(TargetUnreachable(now=now, target=first.targets[0]))
 
 
 class TestUnreachable:
-    """A target that answers no poll is given up only where there is another one."""
+    """An attempt at an unreachable target is abandoned only if there is another target."""
 
     @pytest.mark.parametrize(("call", "targets", "others"), CASES)
     def test_single_target(
         self, call: Call, targets: tuple[Target, ...], others: tuple[Target, ...]
     ) -> None:
-        """Without another target the call stays, as its answer may still come."""
+        """Without another target the attempt is kept, as its answer may still arrive."""
         driver = driver_with_sent_call(call, targets)
         make_unreachable(driver)
         assert not only(CancelAttempt, driver.effects)
@@ -61,7 +61,7 @@
     def test_other_target(
         self, call: Call, targets: tuple[Target, ...], others: tuple[Target, ...]
     ) -> None:
-        """With another target the call goes on there."""
+        """With another target the call continues there."""
         driver = driver_with_sent_call(call, targets + others)
         make_unreachable(driver)
         assert len(only(CancelAttempt, driver.effects)) == 1
@@ -73,7 +73,7 @@
     def test_last_run(
         self, call: Call, targets: tuple[Target, ...], others: tuple[Target, ...]
     ) -> None:
-        """A call that may run no more stays, whatever other targets there are."""
+        """A call without further permitted runs keeps its attempt, even with other targets."""
         driver = driver_with_sent_call(call, targets + others)
         record = driver.state.calls[CALL]
         record.run_count = record.call.runs - 1
@@ -83,13 +83,13 @@
 
 
 class TestReplaced:
-    """A call whose targets have been replaced goes on at the new ones."""
+    """A call whose targets have been replaced continues at the new ones."""
 
     @pytest.mark.parametrize(("call", "targets", "others"), CASES)
     def test_broken(
         self, call: Call, targets: tuple[Target, ...], others: tuple[Target, ...]
     ) -> None:
-        """A target that left breaks the answer off, and one that came later goes on with it."""
+        """If a removed target breaks off the answer, a target added later continues it."""
         driver = driver_with_sent_call(call, targets)
         adopted = snapshot(revision=2, targets=others)
         driver.send(SnapshotAdopted(now=0.0, snapshot=adopted))
@@ -101,7 +101,7 @@
 
 
 def make_stuck(driver: Driver, *, until: float = STUCK_SECONDS + 0.2) -> None:
-    """Let the targets of all attempts say for long enough that requests wait and none runs."""
+    """Make the targets of all attempts report queued but no running requests until stuck."""
     starts = only(StartAttempt, driver.effects)
     names = sorted({name for start in starts for name in start.targets})
     for sequence, now in enumerate((driver.now, driver.now + until), start=1):
@@ -123,11 +123,11 @@
 
 
 class TestStuck:
-    """What waits at an engine that runs nothing is taken back as often as the route permits."""
+    """A request queued at a stuck engine is cancelled as often as the route permits runs."""
 
     @pytest.mark.parametrize("runs", [1, 2, 3])
     def test_runs(self, runs: int) -> None:
-        """The last run that is permitted is waited for, and its answer is the caller's."""
+        """The last permitted run is not cancelled, and its answer goes to the caller."""
         driver = driver_with_sent_call(
             model_call("c1", runs=runs), tuple(map(engine, ("e1", "e2", "e3", "e4")))
         )
@@ -142,7 +142,7 @@
         assert driver.error("c1") is None
 
     def test_not_repeatable(self) -> None:
-        """A call that may not repeat is not taken back."""
+        """A call that must not be repeated is not cancelled."""
         driver = driver_with_sent_call(plain_call("c1"), (booking("s1"), booking("s2")))
         make_stuck(driver)
         driver.tick(driver.now + 1.0)
@@ -151,7 +151,7 @@
 
 
 class TestHedge:
-    """A silent target is hedged only where the route permits one more run."""
+    """A silent attempt is hedged only if the route permits another run."""
 
     @pytest.mark.parametrize(
         ("call", "starts"),
@@ -162,7 +162,7 @@
         ],
     )
     def test_runs(self, call: Call, starts: int) -> None:
-        """What may run once is waited for."""
+        """A call that may run only once is not hedged."""
         driver = driver_with_sent_call(call, (engine("e1"), engine("e2")))
         driver.tick(10.0)
         assert len(only(StartAttempt, driver.effects)) == starts
--- a/tests/serving/test_isolation.py
+++ b/tests/serving/test_isolation.py
@@ -1,4 +1,4 @@
-"""A fault of this program at one call, or beside the calls, costs no other call its decision."""
+"""Fault isolation: an internal error in one call or a side task does not affect other calls."""
 
 from collections.abc import Callable
 
@@ -48,7 +48,7 @@
 
 
 def failing_at_call(step: Callable[..., object]) -> Callable[..., object]:
-    """Return a step that fails at one of the calls."""
+    """Wrap a step so that it raises for the faulty call."""
 
     def fail(*args: object, **more: object) -> object:
         subject = next((arg for arg in args if hasattr(arg, "call")), None)
@@ -60,48 +60,48 @@
 
 
 def always_failing(*args: object, **more: object) -> None:
-    """Fail whatever it is about."""
+    """Raise for any arguments."""
     raise RuntimeError
 
 
 def fail_stop(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let the step fail that ends a call as its host stops."""
+    """Make the step fail that ends the faulty call when its host stops."""
     patch.setattr(_reduce, "stop", failing_at_call(_reduce.stop))
 
 
 def fail_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let the step fail that ends a call at its deadline."""
+    """Make the step fail that ends the faulty call at its deadline."""
     patch.setattr(_reduce, "out_of_time", failing_at_call(_reduce.out_of_time))
 
 
 def fail_release(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let it fail to free what a call holds, each time that it is tried."""
+    """Make each release of the resources of the faulty call fail."""
     patch.setattr(driver.state.fleet, "unsave", failing_at_call(driver.state.fleet.unsave))
 
 
 def fail_drain(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what sends waiting calls."""
+    """Make the dispatch of queued calls fail."""
     patch.setattr(_reduce, "drain_all", always_failing)
 
 
 def fail_claims(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what forgets claims."""
+    """Make the expiry of claims fail."""
     patch.setattr(driver.state, "expire_claims", always_failing)
 
 
 def fail_ledger(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what forgets the accounts of peers."""
+    """Make the expiry of peers' occupancy fail."""
     patch.setattr(driver.state.ledger, "expire", always_failing)
 
 
 def fail_digest(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what is told to peers."""
+    """Make the creation of digests fail."""
     patch.setattr(type(driver.state.ledger), "changed", True)
     patch.setattr(_telling, "_digest", always_failing)
 
 
 def driver_with_sent_calls() -> Driver:
-    """Return a driver with calls that have been sent, with the same deadline."""
+    """Return a driver with started calls that share a deadline."""
     driver = Driver(faulty=True)
     for name in CALLS:
         driver.arrive(model_call(name, deadline=DEADLINE))
@@ -110,7 +110,7 @@
 
 
 class TestMassEnd:
-    """As a stop or a deadline ends several calls, each one has its answer."""
+    """If a stop or a deadline ends several calls, each one gets its answer."""
 
     @pytest.mark.parametrize(
         "fault", [fail_stop, fail_release, fail_digest], ids=lambda f: f.__name__
@@ -118,7 +118,7 @@
     def test_stop(
         self, fault: Fault, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """At the end of the time of grace; the one that fails is told so, and a line is logged."""
+        """When the grace period ends, the faulty call gets an internal error, which is logged."""
         driver = driver_with_sent_calls()
         fault(driver, monkeypatch)
         effects = driver.send(GraceEnded(now=1.0))
@@ -133,7 +133,7 @@
     def test_deadline(
         self, fault: Fault, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """At the deadline of several calls, also where what follows in that tick fails."""
+        """At a shared deadline, also if a later step of the same tick fails."""
         driver = driver_with_sent_calls()
         fault(driver, monkeypatch)
         effects = driver.send(Ticked(now=DEADLINE))
@@ -143,7 +143,7 @@
     def check(
         self, driver: Driver, effects: list[object], fault: Fault, *, usual: type[AzureswitchError]
     ) -> None:
-        """Check that each call has one answer, and that all attempts are called off."""
+        """Check that each call has one answer and that all attempts are cancelled."""
         ends = {finish.call: finish.error for finish in only(FinishCall, effects)}  # type: ignore[arg-type]
         assert len(only(FinishCall, effects)) == len(CALLS)  # type: ignore[arg-type]
         assert ends.keys() == set(CALLS)
@@ -157,10 +157,10 @@
 
 
 class TestWaiting:
-    """A waiting call that cannot be sent for a fault of ours holds up none behind it."""
+    """An internal error on dispatch of a queued call does not block the calls behind it."""
 
     def test_sent(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """It is answered as failed, and the others are sent."""
+        """The faulty call is answered with an error, and the others are sent."""
         driver = Driver(faulty=True)
         monkeypatch.setattr(_attempts, "choose", lambda *args, **more: None)
         for name in (FAULTY, CallId("c3")):
@@ -180,7 +180,7 @@
         ids=lambda event: type(event).__name__,
     )
     def test_queue(self, event: ServingEvent, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Where the queue itself fails, what happened to a call that was sent is decided."""
+        """If the queue itself fails, events of calls in progress are still processed."""
         driver = Driver(faulty=True)
         driver.arrive(model_call(CALLS[0]))
         driver.tick(3.0)
@@ -199,7 +199,7 @@
             assert isinstance(driver.error(CALLS[0]), CallerLeftError)
 
     def test_next_try(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """So it is with one that waits for its next try."""
+        """The same holds for calls that wait for their next retry."""
         driver = Driver(faulty=True)
         for name in CALLS:
             driver.arrive(plain_call(name, repeatable=True))
@@ -215,11 +215,11 @@
 
 
 class TestRunning:
-    """What runs goes on where a step fails that need not have been taken."""
+    """Attempts in progress continue if an optional step fails."""
 
     @pytest.mark.parametrize("step", ["age", "hedge"])
     def test_goes_on(self, step: str, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A stream is not broken off because its priority could not be raised, or none hedged."""
+        """A failure to raise the priority or to hedge does not end the attempt."""
         driver = Driver(faulty=True)
         for name in CALLS:
             driver.arrive(model_call(name))
@@ -230,7 +230,7 @@
         assert driver.error(FAULTY) is None
 
     def test_first_token(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Nor because nothing could be learnt from its first token."""
+        """A failure to record statistics of the first token does not end the attempt."""
         driver = driver_with_sent_calls()
         monkeypatch.setattr(driver.state.costs, "observe_stretch", always_failing)
         driver.send(FirstTokenArrived(now=1.0, call=FAULTY, attempt=1))
@@ -240,7 +240,7 @@
 
 
 class TestOwnStep:
-    """A call whose own step fails is answered at once, and does not wait for its deadline."""
+    """A call whose own step fails is answered immediately, not at its deadline."""
 
     @pytest.mark.parametrize(
         ("event", "module", "step"),
@@ -256,14 +256,14 @@
     def test_answered(
         self, event: ServingEvent, module: object, step: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """It has lost its attempt, so that nothing else would come."""
+        """The call has no attempt left, so no later event would end it."""
         driver = driver_with_sent_calls()
         monkeypatch.setattr(module, step, failing_at_call(getattr(module, step)))
         driver.send(event)
         assert type(driver.error(FAULTY)) is AzureswitchError
 
     def test_claimed(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """So is one that cannot be sent once its claim is granted, which is settled."""
+        """A call that cannot be sent after its claim is granted ends, and the claim is settled."""
         driver = Driver(faulty=True)
         driver.arrive(plain_call(FAULTY))
         monkeypatch.setattr(_reduce, "dispatch", failing_at_call(_reduce.dispatch))
@@ -273,19 +273,19 @@
 
 
 def unreachable(driver: Driver, target: TargetName) -> None:
-    """Let a target answer no poll for long enough."""
+    """Make a target unreachable for long enough that its attempts are lost."""
     for now in (0.0, LOST_SECONDS + 0.1):
         driver.send(TargetUnreachable(now=now, target=target))
 
 
 def restarted(driver: Driver, target: TargetName) -> None:
-    """Let a target start again."""
+    """Make a target restart."""
     targets = [replace(item, started=2 if item.name == target else 1) for item in ENGINES]
     driver.send(SnapshotAdopted(now=1.0, snapshot=snapshot(revision=3, targets=targets)))
 
 
 def stuck(driver: Driver, target: TargetName) -> None:
-    """Let a target say for long enough that requests wait there and none runs."""
+    """Make a target report queued requests and no running ones until it counts as stuck."""
     for sequence, now in enumerate((0.0, STUCK_SECONDS + 0.1), start=1):
         report = LoadReport(
             target=target,
@@ -303,7 +303,7 @@
 
 
 class TestRemoval:
-    """As a target loses several attempts, each call goes on elsewhere but one that fails."""
+    """If a target loses several attempts, all calls but the faulty one continue elsewhere."""
 
     @pytest.mark.parametrize(
         ("remove", "step"), [(unreachable, "retry"), (restarted, "dispatch"), (stuck, "dispatch")]
@@ -314,7 +314,7 @@
         step: str,
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
-        """Those that do not fail are sent again."""
+        """The other calls are sent again."""
         driver = Driver(config=snapshot(targets=ENGINES[:1]), faulty=True)
         for name in CALLS:
             driver.arrive(model_call(name, tokens=10))
--- a/tests/serving/test_policy.py
+++ b/tests/serving/test_policy.py
@@ -1,4 +1,4 @@
-"""Admission, fairness, routing and length, matter by matter."""
+"""Admission, fairness, routing and prompt length."""
 
 import pytest
 from msgspec.structs import replace
@@ -64,12 +64,12 @@
 
 
 def started(driver: Driver, call: str) -> list[StartAttempt]:
-    """Return the attempts at a call so far."""
+    """Return the attempts of a call that have been started."""
     return [start for start in only(StartAttempt, driver.effects) if start.call == call]
 
 
 class TestAdmission:
-    """What is refused at once."""
+    """Refusals on arrival."""
 
     @pytest.mark.parametrize(
         ("changes", "error"),
@@ -82,7 +82,7 @@
         ],
     )
     def test_refused(self, changes: dict[str, object], error: type[AzureswitchError]) -> None:
-        """A call that cannot be served has its typed answer in the same event."""
+        """A call that cannot be served gets its typed error within the arrival event."""
         driver = Driver()
         call = model_call("c1")
         fields = {name: getattr(call, name) for name in call.__struct_fields__}
@@ -90,7 +90,7 @@
         assert isinstance(driver.error("c1"), error)
 
     def test_no_target(self) -> None:
-        """Where every engine is unreachable, the caller learns when to come back."""
+        """If every engine is unreachable, the caller gets a retry time."""
         driver = Driver()
         for name in ("e1", "e2", "e3", "e4"):
             driver.send(TargetUnreachable(now=0.0, target=TargetName(name)))
@@ -100,7 +100,7 @@
         assert error.seconds > 0.0
 
     def test_limit(self) -> None:
-        """A customer over its limit is refused with the time to come back; others are not."""
+        """A customer over its limit is refused with a retry time; others are admitted."""
         driver = Driver(config=snapshot(limit=0.1))
         for number in range(20):
             driver.arrive(model_call(f"a{number}", tokens=10_000))
@@ -114,11 +114,11 @@
 
 
 class TestFairness:
-    """Limits shared among hosts, and who goes first."""
+    """Limits shared among hosts, and the order among customers."""
 
     @staticmethod
     def fairness() -> Fairness:
-        """Return an account of customers with a limit of one, on one of two hosts."""
+        """Return the accounts of one of two hosts, for customers with a limit of one."""
         fairness = Fairness(myself=HostSelf(name=HostName("h1"), place="a1", started=1))  # type: ignore[arg-type]
         fairness.adopt(snapshot(limit=1.0).inventory.customers)
         fairness.set_hosts((HostName("h1"), HostName("h2")))
@@ -126,12 +126,12 @@
         return fairness
 
     def use(self, fairness: Fairness, sequence: int, seconds: float, *, now: float) -> None:
-        """Let the peer tell what it has admitted for the first customer so far."""
+        """Apply a digest with the peer's total use by the first customer."""
         uses = (CustomerUse(customer=ANN, seconds=seconds),)
         fairness.apply_digest(digest(sequence, uses=uses), now=now)
 
     def test_peer_use(self) -> None:
-        """What a peer admitted counts here once, also when its digests come twice or crossed."""
+        """A peer's use is charged once, even if digests are duplicated or reordered."""
         fairness = self.fairness()
         for sequence, seconds in ((2, 1.0), (4, 9.0), (4, 9.0), (3, 5.0)):
             self.use(fairness, sequence, seconds, now=0.0)
@@ -140,14 +140,14 @@
 
     @pytest.mark.parametrize(("after", "heard"), [(0.1, False), (1.5, True)])
     def test_clock_step(self, after: float, heard: bool) -> None:
-        """A peer that restarts by a clock set back is heard, and its late messages are not."""
+        """A restarted peer whose clock was set back is accepted; reordered digests are not."""
         fairness = self.fairness()
         fairness.apply_digest(replace(digest(7), started=9), now=10.0)
         assert fairness.apply_digest(replace(digest(1), started=8), now=10.0 + after) is heard
         assert fairness.apply_digest(replace(digest(2), started=8), now=10.2 + after) is heard
 
     def test_partitioned(self) -> None:
-        """A host that hears no peer grants its own part of the limit only."""
+        """A partitioned host grants only its own share of the limit."""
         granted = {}
         for heard in (True, False):
             fairness = self.fairness()
@@ -163,14 +163,14 @@
         assert granted[False] == pytest.approx(57.0, rel=0.1)
 
     def test_long_work(self) -> None:
-        """A long charge does not lock out its customer's short calls, but further long ones."""
+        """A large charge delays its customer's further long calls, but not the short ones."""
         fairness = self.fairness()
         fairness.charge(ANN, 100.0, now=0.0)
         assert fairness.wait(ANN, long=False, now=0.1) == 0.0
         assert fairness.wait(ANN, long=True, now=0.1) > 1.0
 
     def test_excess(self) -> None:
-        """Who uses three times its share beside others goes after them."""
+        """A customer exceeds its fair share at more than three times of it."""
         fairness = self.fairness()
         for customer, count in zip(CUSTOMERS, (100, 1, 1), strict=True):
             for _ in range(count):
@@ -185,7 +185,7 @@
         assert [fairness.exceeds(name, now=3.0) for name in CUSTOMERS] == [True, False, False]
 
     def test_queue_order(self) -> None:
-        """The least served customer's oldest call goes first."""
+        """The oldest call of the least served customer comes first."""
         queue = WaitingQueue()
         lane = Lane(service="llm", model="base", level=Level.LONG)  # type: ignore[arg-type]
         for call, customer in (("a1", ANN), ("a2", ANN), ("b1", BOB)):
@@ -198,7 +198,7 @@
 
 
 class TestRouting:
-    """Which target an attempt goes to."""
+    """Choice of the target for an attempt."""
 
     @pytest.mark.parametrize(
         "busy",
@@ -222,7 +222,7 @@
         ids=["report", "digest", "unreachable", "suspect"],
     )
     def test_avoided(self, busy: object) -> None:
-        """Engines that are busy, silent or suspected get no short prompt while one is free."""
+        """Busy, unreachable or suspect engines get no short prompt while another is free."""
         driver = Driver()
         for name in ("e1", "e2", "e3"):
             driver.send(busy(name))  # type: ignore[operator]
@@ -230,7 +230,7 @@
         assert {s.targets for s in starts} == {(TargetName("e4"),)}
 
     def test_draining(self) -> None:
-        """An engine that drains gets no new work from the next configuration on."""
+        """A draining engine gets no new work once the configuration is adopted."""
         driver = Driver()
         roles = {"e1": TargetRole.SERVING}
         targets = [engine(n, role=roles.get(n, TargetRole.DRAINING)) for n in ("e1", "e2", "e3")]
@@ -239,7 +239,7 @@
         assert {s.targets for s in starts} == {(TargetName("e1"),)}
 
     def test_affinity(self) -> None:
-        """A prompt follows its cached prefix, but not to an engine with much to do."""
+        """A prompt goes to the engine with its cached prefix, unless that has a large backlog."""
         config = snapshot(targets=[engine("e1"), engine("e2"), engine("e3")])
         events = CacheEvents(
             target=TargetName("e2"), started=1, sequence=1, complete=True, added=(7,), removed=()
@@ -252,7 +252,7 @@
             assert (start.targets == (TargetName("e2"),)) is same
 
     def test_hedge(self) -> None:
-        """A silent target is hedged once; the first token ends the other attempt."""
+        """A silent attempt is hedged once; the first token cancels the other attempt."""
         driver = Driver()
         driver.arrive(model_call("c1"))
         driver.tick(20.0)
@@ -262,7 +262,7 @@
         assert [c.attempt for c in only(CancelAttempt, driver.effects)] == [1]
 
     def test_unreachable(self) -> None:
-        """Attempts at an engine that answers no poll any more start elsewhere, at their offset."""
+        """An attempt at an engine that stops answering polls is restarted elsewhere."""
         driver = Driver()
         (first,) = driver.start_all([model_call("c1")])
         driver.send(FirstTokenArrived(now=0.0, call=first.call, attempt=1))
@@ -274,7 +274,7 @@
         assert [c.attempt for c in only(CancelAttempt, driver.effects)] == [1]
 
     def test_stuck(self) -> None:
-        """What waits at an engine that runs nothing is taken back and sent elsewhere."""
+        """A request queued at an engine that runs nothing is cancelled and sent elsewhere."""
         driver = Driver()
         (first,) = driver.start_all([model_call("c1", tokens=300_000, deadline=900.0)])
         (name,) = first.targets
@@ -286,7 +286,7 @@
         assert [s.targets != first.targets for s in started(driver, "c1")[1:]] == [True]
 
     def test_retry_budget(self) -> None:
-        """When every engine breaks at once, retries stay within the budget."""
+        """If every engine fails at once, retries stay within the retry budget."""
         driver = Driver()
         for number in range(60):
             driver.arrive(model_call(f"c{number}", tokens=1))
@@ -298,11 +298,11 @@
 
 
 class TestLength:
-    """Long prompts beside short ones."""
+    """Scheduling of long prompts beside short ones."""
 
     @pytest.mark.parametrize("objective", Objective)
     def test_priorities(self, objective: Objective) -> None:
-        """Short ones go before long ones, at any age; among equals the older ones go first."""
+        """Short prompts precede long ones at any age; longer ones come later, older ones sooner."""
         rules = Rules(objective=objective)
         levels = [
             priority(model_call("c", tokens=tokens), rules, prefill=1.0, waited=0.0)
@@ -316,7 +316,7 @@
         assert priority(short, rules, prefill=0.1, waited=0.0, demoted=True) == 0
 
     def test_ageing(self) -> None:
-        """A long prompt that waits for its first token is raised step by step."""
+        """The priority of a long prompt that waits for its first token rises step by step."""
         driver = Driver()
         (start,) = driver.start_all([model_call("c1", tokens=200_000, deadline=300.0)])
         driver.tick(60.0)
@@ -328,7 +328,7 @@
         [(0.0, 0.0, 1, 10), (1.0, 0.0, 1, 1), (1.0, 4.0, 9, 14), (1.0, 40.0, 12, 17)],
     )
     def test_split(self, short: float, long: float, least: int, most: int) -> None:
-        """The engines for long prompts follow the mix, and hosts with one mix agree."""
+        """The split follows the demand, and hosts with the same demand converge."""
         counts = set()
         for first in (0.0, 40.0):
             split = Split()
@@ -343,14 +343,14 @@
         assert all(least <= count <= most for count in counts)
 
     def test_spans(self) -> None:
-        """A prompt over one engine's memory takes as few engines as hold it, in name order."""
+        """A prompt beyond one engine's memory uses the fewest engines, in order of name."""
         driver = Driver()
         (start,) = driver.start_all([model_call("c1", tokens=900_000, deadline=900.0)])
         assert len(start.targets) == 3
         assert list(start.targets) == sorted(start.targets)
 
     def test_spans_reserve(self) -> None:
-        """Where too few have room, it is all or nothing, and memory is saved for it."""
+        """If too few engines have memory, the call waits and engines are reserved for it."""
         driver = Driver()
         for name in ("e1", "e2"):
             driver.send(LoadReported(now=0.0, report=report(name, used=300_000)))
@@ -365,7 +365,7 @@
         assert len(started(driver, "c1")[0].targets) == 3
 
     def test_long_prompts_queue(self) -> None:
-        """Long prompts wait at the host while an engine for them is busy with one."""
+        """Long prompts wait at the host while the engines for them are busy."""
         driver = Driver()
         calls = [model_call(f"c{i}", tokens=200_000, deadline=300.0) for i in range(6)]
         starts = driver.start_all(calls)
