--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -192,7 +192,7 @@
             arrival=record.arrival,
             customer=record.call.customer,
             target=first.name,
-            seconds_left=left,
+            quarantine_seconds=left,
             last_event=record.last_event,
             urgency=effect.priority,
             helpers=tuple(_helper(target, tickets) for target in targets[1:]),
@@ -208,7 +208,7 @@
             fresh=True,
         )
         patience = Patience(
-            seconds=effect.first_patience, silent=lambda: self._silent(record, effect)
+            seconds=effect.first_output_timeout, silent=lambda: self._silent(record, effect)
         )
         with patience:
             async with stream as answer:
@@ -296,7 +296,7 @@
             # A caller that reads slowly is no fault of the target's.
             patience.suspend()
             await record.exchange.drain()
-            patience.begin(effect.gap_patience)
+            patience.begin(effect.output_gap_timeout)
         if splitter.torn:
             raise TargetAnswerError(target=effect.targets[0])
         if not record.exchange.started:
--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -15,7 +15,6 @@
     UnknownModelError,
     UnknownServiceError,
 )
-from azureswitch.serving._allowed import lane_for, limit_refusal
 from azureswitch.serving._cost import DURATION_MARGIN, Cost
 from azureswitch.serving._events import Call
 from azureswitch.serving._fleet import Pool
@@ -23,6 +22,7 @@
 from azureswitch.serving._spreading import MAX_PARTS
 from azureswitch.serving._state import ServingState
 from azureswitch.serving._target import TargetState
+from azureswitch.serving._throttling import lane_for, limit_refusal
 
 SHORT_QUEUE_SECONDS = 4.0
 """Maximum predicted queueing time of a short prompt; above it, the call is refused."""
@@ -61,7 +61,7 @@
     refused = _request_refusal(state, call, now=now)
     if refused is not None:
         return refused
-    held_back = state.crashes.seconds_left(call, now=now)
+    held_back = state.crashes.quarantine_seconds(call, now=now)
     if held_back:
         return QuarantinedError(seconds=held_back)
     pool = state.fleet.pool(service=call.service, model=call.model)
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -10,7 +10,6 @@
     RetriesExhaustedError,
     TargetBrokenError,
 )
-from azureswitch.serving._allowed import all_limited, count_held_back, lane_for
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import TargetStart
 from azureswitch.serving._effects import (
@@ -19,22 +18,30 @@
     PrioritizeAttempt,
     StartAttempt,
 )
-from azureswitch.serving._ending import beside, cancel_others, decide, finish, observe, release
+from azureswitch.serving._ending import (
+    cancel_others,
+    finish,
+    observe,
+    release,
+    run_isolated,
+    run_step,
+)
 from azureswitch.serving._events import AttemptEnd, AttemptEnded, TokensArrived
-from azureswitch.serving._fleet import EJECT_MOST, PACED_EJECT_MOST
-from azureswitch.serving._giving_up import end_quarantined, give_up
+from azureswitch.serving._fleet import MAX_EJECTION_SECONDS, MAX_UNSHARED_EJECTION_SECONDS
 from azureswitch.serving._length import Level, ageing_period, priority
 from azureswitch.serving._queue import Lane
 from azureswitch.serving._retries import (
     HEDGE_COST,
-    MOST_RETRIES,
+    MAX_RETRIES,
     backoff,
-    hedge_after,
-    hold_seconds,
-    patience,
+    hedge_delay,
+    max_queue_seconds,
+    silence_timeouts,
 )
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState, TimerKind
+from azureswitch.serving._termination import end_quarantined, give_up
+from azureswitch.serving._throttling import all_limited, count_held_back, lane_for
 
 BLOCK_SECONDS = {Level.SHORT: 0.02, Level.MIDDLE: 0.1, Level.LONG: 0.25}
 """Seconds for which a lane is not looked at again once no target had room for it."""
@@ -56,7 +63,7 @@
 
 def dispatch(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Send a call to a target, or let it wait for one that has room."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     lane = lane_of(record)
     others = any(True for _ in state.queue.customers(lane))
@@ -69,7 +76,7 @@
     state.fairness.raise_counter(record.call.customer, floor)
     record.phase = Phase.WAITING
     if record.call.unshared:
-        at = now + hold_seconds(record.call)
+        at = now + max_queue_seconds(record.call)
         state.timers.set(at=at, kind=TimerKind.LATEST_START, call=record.call.id)
     state.queue.push(
         lane=lane,
@@ -98,7 +105,7 @@
 def _start_next(state: ServingState, lane: Lane, *, now: float) -> list[Effect]:
     for call in state.queue.heads(lane, state.fairness.served):
         record = state.calls[call]
-        effects = decide(state, record, partial(_start_waiting, state, record, now=now), now=now)
+        effects = run_step(state, record, partial(_start_waiting, state, record, now=now), now=now)
         if effects:
             return effects
     return []
@@ -117,7 +124,7 @@
     return [
         effect
         for lane in state.queue.lanes
-        for effect in beside(partial(drain, state, lane, now=now), name="The queue")
+        for effect in run_isolated(partial(drain, state, lane, now=now), name="The queue")
     ]
 
 
@@ -158,7 +165,7 @@
     if call.model and record.pool.pace is None:
         _set_ageing(state, record, attempt, now=now)
         _set_hedge(state, record, choice, now=now)
-    silence = patience(call, first_token=choice.first_token)
+    silence = silence_timeouts(call, first_token=choice.first_token)
     return [
         StartAttempt(
             call=call.id,
@@ -170,8 +177,8 @@
             reserved=choice.reserved,
             first_token=choice.first_token,
             accounts=state.ledger.accounts,
-            first_patience=silence.first,
-            gap_patience=silence.gap,
+            first_output_timeout=silence.first,
+            output_gap_timeout=silence.gap,
             held_back=held_back,
         )
     ]
@@ -192,7 +199,7 @@
         return
     expected = choice.wait + choice.work.seconds * max(1.0, record.cost.stretch)
     state.timers.set(
-        at=now + hedge_after(expected), kind=TimerKind.HEDGE, call=record.call.id, attempt=1
+        at=now + hedge_delay(expected), kind=TimerKind.HEDGE, call=record.call.id, attempt=1
     )
 
 
@@ -201,7 +208,7 @@
     silent = record.attempts.get(number)
     if silent is None or len(record.attempts) > 1 or record.first_token is not None:
         return []
-    if not record.may_run_beside(1) or state.crashes.seconds_left(record.call, now=now):
+    if not record.may_run_beside(1) or state.crashes.quarantine_seconds(record.call, now=now):
         return []
     record.failed.update(silent.targets)
     choice = choose(state, record, now=now)
@@ -340,7 +347,7 @@
     _blame(state, record, attempt, event)
     if isinstance(event.error, TargetBrokenError):
         start = TargetStart(target=attempt.targets[0], started=attempt.start)
-        state.crashes.broke_off(record.call, start, now=now)
+        state.crashes.record_crash(record.call, start, now=now)
     if not record.call.repeatable and not refused:
         error = OutcomeLostError()
         return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
@@ -375,19 +382,19 @@
 def mark_failed(state: ServingState, record: CallRecord, target: TargetName, *, now: float) -> None:
     """Keep a target that failed out of use for a while, and this call away from it."""
     record.failed.add(target)
-    longest = PACED_EJECT_MOST if record.call.unshared else EJECT_MOST
+    longest = MAX_UNSHARED_EJECTION_SECONDS if record.call.unshared else MAX_EJECTION_SECONDS
     state.fleet.failed(target, now=now, longest=longest)
 
 
 def retry(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Try a call again after a pause, or give it up at once where no retry is permitted."""
-    if state.crashes.seconds_left(record.call, now=now):
+    if state.crashes.quarantine_seconds(record.call, now=now):
         return end_quarantined(state, record, now=now)
     record.retry_count += 1
     pause = _pause(state, record)
     in_time = now + pause < state.ends_by(record.call)
     more_runs = record.run_count < record.call.runs
-    permitted = record.retry_count <= MOST_RETRIES and in_time and more_runs
+    permitted = record.retry_count <= MAX_RETRIES and in_time and more_runs
     if not permitted or not state.retries.take():
         return give_up(state, record, now=now)
     retried = observe(record, Observation.RETRIED)
--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -21,7 +21,7 @@
 from azureswitch.serving._state import Attempt, CallRecord, Phase, ServingState
 
 
-def decide(
+def run_step(
     state: ServingState,
     record: CallRecord,
     step: Callable[[], list[Effect]],
@@ -75,7 +75,7 @@
     ]
 
 
-def beside(step: Callable[[], list[Effect]], *, name: str) -> list[Effect]:
+def run_isolated(step: Callable[[], list[Effect]], *, name: str) -> list[Effect]:
     """Do what is no single call's; where it fails, what was decided for calls stands."""
     try:
         return step()
@@ -137,7 +137,7 @@
     call = record.call
     del state.calls[call.id]
     state.queue.remove(call.id)
-    state.fleet.unsave(call.id)
+    state.fleet.release_memory(call.id)
     effects = cancel_others(state, record)
     if record.phase is Phase.CLAIMING:
         state.abandon_claim(call.id, now=now)
--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -11,7 +11,6 @@
 
 from azureswitch.core import TargetName
 from azureswitch.inventory import EnginePace
-from azureswitch.serving._allowed import is_limited, is_unheard, permitted
 from azureswitch.serving._candidates import Engine, ScoredChoice, needed_tokens, wait_seconds
 from azureswitch.serving._choice import Choice
 from azureswitch.serving._digests import Occupancy
@@ -22,6 +21,7 @@
 from azureswitch.serving._spreading import choose_long
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState, Work
+from azureswitch.serving._throttling import is_limited, is_unheard, permitted
 
 MIN_HEALTHY_SHARE = 0.5
 """Minimum share of targets without recent failures for the other targets to be avoided.
--- a/src/azureswitch/serving/_spans.py
+++ b/src/azureswitch/serving/_spans.py
@@ -27,18 +27,20 @@
     states = [state.fleet.state(name) for name in record.pool.targets]
     usable = [t for t in states if t is not None and t.usable(now)]
     usable = [t for t in usable if t.target.name not in record.failed]
-    allowed = [t for t in usable if state.fleet.takes_long(t.target.name, call=call.id, now=now)]
+    allowed = [
+        t for t in usable if state.fleet.accepts_long_prompts(t.target.name, call=call.id, now=now)
+    ]
     fewest = max(2, -(-tokens // max(1, int(record.pool.longest * MAX_SPAN_FILL))))
     for count in range(fewest, min(len(allowed), fewest + MAX_EXTRA_ENGINES) + 1):
         fitting = [t for t in allowed if t.free_tokens() >= -(-tokens // count)]
         if len(fitting) >= count:
-            state.fleet.unsave(call.id)
+            state.fleet.release_memory(call.id)
             return tuple(sorted(t.target.name for t in fitting[:count]))
-    _save(state, record, allowed, fewest, now=now)
+    _reserve(state, record, allowed, fewest, now=now)
     return None
 
 
-def _save(
+def _reserve(
     state: ServingState,
     record: CallRecord,
     allowed: list[TargetState],
@@ -47,10 +49,10 @@
     now: float,
 ) -> None:
     """Reserve the engines with the most free memory, so that other long prompts avoid them."""
-    if not state.fleet.may_save(now=now):
-        state.fleet.unsave(record.call.id)
+    if not state.fleet.may_reserve_memory(now=now):
+        state.fleet.release_memory(record.call.id)
         return
     most_free = sorted(allowed, key=lambda t: (-t.free_tokens(), t.target.name))[:count]
-    saved = [t.target.name for t in most_free]
-    state.fleet.unsave(record.call.id)
-    state.fleet.save(saved, call=record.call.id, now=now)
+    reserved = [t.target.name for t in most_free]
+    state.fleet.release_memory(record.call.id)
+    state.fleet.reserve_memory(reserved, call=record.call.id, now=now)
--- a/tests/serving/test_isolation.py
+++ b/tests/serving/test_isolation.py
@@ -32,9 +32,9 @@
     TargetUnreachable,
     Ticked,
     _attempts,
+    _failover,
+    _gossip,
     _reduce,
-    _removal,
-    _telling,
 )
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from tests.serving.fixtures import Driver, engine, model_call, only, plain_call, snapshot
@@ -66,17 +66,19 @@
 
 def fail_stop(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Make the step fail that ends the faulty call when its host stops."""
-    patch.setattr(_reduce, "stop", failing_at_call(_reduce.stop))
+    patch.setattr(_reduce, "end_stopped", failing_at_call(_reduce.end_stopped))
 
 
 def fail_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Make the step fail that ends the faulty call at its deadline."""
-    patch.setattr(_reduce, "out_of_time", failing_at_call(_reduce.out_of_time))
+    patch.setattr(_reduce, "end_expired", failing_at_call(_reduce.end_expired))
 
 
 def fail_release(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Make each release of the resources of the faulty call fail."""
-    patch.setattr(driver.state.fleet, "unsave", failing_at_call(driver.state.fleet.unsave))
+    patch.setattr(
+        driver.state.fleet, "release_memory", failing_at_call(driver.state.fleet.release_memory)
+    )
 
 
 def fail_drain(driver: Driver, patch: pytest.MonkeyPatch) -> None:
@@ -97,7 +99,7 @@
 def fail_digest(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Make the creation of digests fail."""
     patch.setattr(type(driver.state.ledger), "changed", True)
-    patch.setattr(_telling, "_digest", always_failing)
+    patch.setattr(_gossip, "_digest", always_failing)
 
 
 def driver_with_sent_calls() -> Driver:
@@ -165,7 +167,7 @@
         monkeypatch.setattr(_attempts, "choose", lambda *args, **more: None)
         for name in (FAULTY, CallId("c3")):
             driver.arrive(model_call(name))
-        monkeypatch.setattr(_attempts, "choose", failing_at_call(_removal.choose))
+        monkeypatch.setattr(_attempts, "choose", failing_at_call(_failover.choose))
         driver.tick(1.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
         assert [start.call for start in only(StartAttempt, driver.effects)] == ["c3"]
@@ -250,7 +252,7 @@
                 _attempts,
                 "retry",
             ),
-            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _removal, "retry"),
+            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _failover, "retry"),
         ],
     )
     def test_answered(
@@ -319,7 +321,7 @@
         for name in CALLS:
             driver.arrive(model_call(name, tokens=10))
         driver.send(SnapshotAdopted(now=0.0, snapshot=snapshot(revision=2, targets=ENGINES)))
-        monkeypatch.setattr(_removal, step, failing_at_call(getattr(_removal, step)))
+        monkeypatch.setattr(_failover, step, failing_at_call(getattr(_failover, step)))
         remove(driver, TargetName("e1"))
         driver.tick(3.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
--- a/tests/serving/test_silence.py
+++ b/tests/serving/test_silence.py
@@ -7,7 +7,7 @@
 
 from azureswitch.core import CallId, HostName
 from azureswitch.exceptions import DeadlineExceededError
-from azureswitch.platform._edge import HOSTS_MOST
+from azureswitch.platform._edge import MAX_FLEET_HOSTS
 from azureswitch.serving import (
     AttemptSilent,
     Call,
@@ -20,7 +20,7 @@
     StartAttempt,
 )
 from azureswitch.serving._attempts import lane_of
-from azureswitch.serving._retries import MOST_RETRIES
+from azureswitch.serving._retries import MAX_RETRIES
 from tests.serving.fixtures import (
     CUSTOMERS,
     Driver,
@@ -56,7 +56,7 @@
 
 def use_retries(driver: Driver) -> None:
     """Let the call have been retried as often as any call is."""
-    driver.state.calls[CALL].retry_count = MOST_RETRIES
+    driver.state.calls[CALL].retry_count = MAX_RETRIES
 
 
 def near_deadline(driver: Driver) -> None:
@@ -197,7 +197,7 @@
 
 def _starting_budget() -> RetryBudget:
     """Return the budget of a host that starts and knows of no other."""
-    return RetryBudget(share=SHARE, burst=BURST / HOSTS_MOST, fleet_burst=BURST)
+    return RetryBudget(share=SHARE, burst=BURST / MAX_FLEET_HOSTS, fleet_burst=BURST)
 
 
 def _take_all(budget: RetryBudget) -> int:
