--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -58,12 +58,12 @@
 
 def refusal(state: ServingState, call: Call, *, now: float) -> AzureswitchError | None:
     """Return the error with which a call is refused, or None if it is admitted."""
-    refused = _request_refusal(state, call, now=now)
-    if refused is not None:
-        return refused
-    held_back = state.crashes.quarantine_seconds(call, now=now)
-    if held_back:
-        return QuarantinedError(seconds=held_back)
+    error = _request_refusal(state, call, now=now)
+    if error is not None:
+        return error
+    quarantine = state.crashes.quarantine_seconds(call, now=now)
+    if quarantine:
+        return QuarantinedError(seconds=quarantine)
     pool = state.fleet.pool(service=call.service, model=call.model)
     targets = [] if pool is None else state.fleet.states(pool)
     if pool is None or not any(target.usable(now) for target in targets):
--- a/src/azureswitch/serving/_cost.py
+++ b/src/azureswitch/serving/_cost.py
@@ -84,7 +84,7 @@
     return tokens / PREFILL_RATE * (1.0 + tokens / ATTENTION_TOKENS)
 
 
-def _kind(call: Call) -> tuple[str, int]:
+def _bucket(call: Call) -> tuple[str, int]:
     """Return the model and the prompt length bucket of a call; buckets grow by a factor of four."""
     return call.model, call.prompt_tokens.bit_length() // 2
 
@@ -121,12 +121,12 @@
             model=call.model, prompt_tokens=call.prompt_tokens, cached_tokens=cached_tokens
         )
         output = call.output_tokens * self._outputs.get(call.model, DEFAULT_OUTPUT_SHARE)
-        interval = self._intervals.get(_kind(call), DEFAULT_TOKEN_INTERVAL_SECONDS)
+        interval = self._intervals.get(_bucket(call), DEFAULT_TOKEN_INTERVAL_SECONDS)
         return Cost(
             prefill=prefill,
             decode=self.decode_seconds(output),
             answer=output * interval,
-            stretch=self._stretches.get(_kind(call), 1.0),
+            stretch=self._stretches.get(_bucket(call), 1.0),
         )
 
     def prefill_seconds(self, *, model: str, prompt_tokens: int, cached_tokens: int) -> float:
@@ -185,9 +185,9 @@
     def observe_stretch(self, *, call: Call, expected: float, seconds: float) -> None:
         """Record the ratio of the observed to the expected time to the first token under load."""
         if call.model and expected > 0.0:
-            known = self._stretches.get(_kind(call), 1.0)
+            known = self._stretches.get(_bucket(call), 1.0)
             sample = min(MAX_STRETCH, max(1.0, seconds / expected))
-            self._stretches[_kind(call)] = known + STRETCH_SMOOTHING * (sample - known)
+            self._stretches[_bucket(call)] = known + STRETCH_SMOOTHING * (sample - known)
 
     def observe_end(self, *, call: Call, tokens: int, seconds: float) -> None:
         """Record a completed answer.
@@ -205,9 +205,9 @@
             known = self._outputs.get(call.model, DEFAULT_OUTPUT_SHARE)
             self._outputs[call.model] = self._smooth(known, share)
             if tokens > 1:
-                interval = self._intervals.get(_kind(call), DEFAULT_TOKEN_INTERVAL_SECONDS)
+                interval = self._intervals.get(_bucket(call), DEFAULT_TOKEN_INTERVAL_SECONDS)
                 sample = seconds / (tokens - 1)
-                self._intervals[_kind(call)] = self._smooth(interval, sample)
+                self._intervals[_bucket(call)] = self._smooth(interval, sample)
 
     @staticmethod
     def _smooth(known: float, sample: float) -> float:
--- a/src/azureswitch/serving/_penalties.py
+++ b/src/azureswitch/serving/_penalties.py
@@ -112,19 +112,21 @@
     return tokens / SHORT_STREAM_TOKENS
 
 
-def pause_cost(there: Occupancy, pace: EnginePace, *, reading: float, pauses: PauseLimits) -> float:
+def pause_cost(
+    occupancy: Occupancy, pace: EnginePace, *, reading: float, pauses: PauseLimits
+) -> float:
     """Return the cost of additional prefill on an engine to the streams that it serves.
 
     Args:
-        there: The present occupancy of the engine.
+        occupancy: The present occupancy of the engine.
         pace: The engine's pace.
         reading: Seconds of prefill to be added.
         pauses: Longest pauses that streams tolerate.
     """
-    pause = pass_seconds(pace) + there.reading + there.short_reading + reading
-    cost = there.streams * _late_share(pause, pauses.short)
-    if there.long_streams:
-        lost = (1.0 - LATE_CREDIT_SHARE) * long_weight(there.tokens)
+    pause = pass_seconds(pace) + occupancy.reading + occupancy.short_reading + reading
+    cost = occupancy.streams * _late_share(pause, pauses.short)
+    if occupancy.long_streams:
+        lost = (1.0 - LATE_CREDIT_SHARE) * long_weight(occupancy.tokens)
         cost += lost * _late_share(pause, pauses.long)
     return cost
 
--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -87,14 +87,14 @@
     choose_any = _choose_short if short else choose_long
     choose = partial(choose_any, state, record, pace=pace, now=now)
     if short:
-        offer = _best_choice(state, engines, choose)
+        best = _best_choice(state, engines, choose)
     else:
         # Limited engines are left to short prompts, unless only they can serve a long one.
         unlimited = [engine for engine in engines if not engine.limited]
-        offer = _best_choice(state, unlimited, choose) if unlimited else None
-        if offer is None:
-            offer = _best_choice(state, engines, choose)
-    return None if offer is None else offer.choice
+        best = _best_choice(state, unlimited, choose) if unlimited else None
+        if best is None:
+            best = _best_choice(state, engines, choose)
+    return None if best is None else best.choice
 
 
 def _engine(state: ServingState, target: TargetState, *, now: float) -> Engine:
@@ -114,8 +114,8 @@
     pause = state.pauses.tightest(call.service, now=now)
     if call.gap_objective:
         pause = min(pause, call.gap_objective)
-    bearable = DEFAULT_PAUSE_SECONDS if pause == inf else pause
-    return read_seconds(pace, call.prompt_tokens) <= SHORT_READ_SHARE * bearable
+    limit = DEFAULT_PAUSE_SECONDS if pause == inf else pause
+    return read_seconds(pace, call.prompt_tokens) <= SHORT_READ_SHARE * limit
 
 
 def _best_choice(
@@ -130,14 +130,14 @@
     """
     if not state.domains.divided:
         return choose(engines)
-    near = [engine for engine in engines if not engine.target.nearness]
-    offer = choose(near) if near else None
-    if offer is not None and (offer.cost <= REMOTE_COST or len(near) == len(engines)):
-        return offer
-    wider = choose(engines)
-    if offer is None or wider is None:
-        return wider or offer
-    return wider if wider.cost + REMOTE_COST < offer.cost else offer
+    local = [engine for engine in engines if not engine.target.nearness]
+    best = choose(local) if local else None
+    if best is not None and (best.cost <= REMOTE_COST or len(local) == len(engines)):
+        return best
+    overall = choose(engines)
+    if best is None or overall is None:
+        return overall or best
+    return overall if overall.cost + REMOTE_COST < best.cost else best
 
 
 def usable_targets(state: ServingState, record: CallRecord, *, now: float) -> list[TargetState]:
--- a/src/azureswitch/serving/_routing.py
+++ b/src/azureswitch/serving/_routing.py
@@ -183,22 +183,22 @@
     """Return candidate targets: a random sample and those with the longest cached prefix."""
     choices = SAMPLE_SIZES[record.level]
     drawn = names if len(names) <= choices else tuple(state.random.sample(names, choices))
-    held = {name: cached[name] for name in names if name in cached} if cached else {}
-    extra = sorted(held, key=lambda name: (-held[name], name))[:MAX_CACHED_CANDIDATES]
-    usable = _usable(state, record, (*drawn, *extra), now=now)
-    if usable:
-        return usable
-    everything = _usable(state, record, record.pool.targets, now=now)
+    holders = {name: cached[name] for name in names if name in cached} if cached else {}
+    extra = sorted(holders, key=lambda name: (-holders[name], name))[:MAX_CACHED_CANDIDATES]
+    candidates = _usable(state, record, (*drawn, *extra), now=now)
+    if candidates:
+        return candidates
+    fallback = _usable(state, record, record.pool.targets, now=now)
     # As a last resort, include targets that have failed before.
-    return everything or [t for t in state.fleet.states(record.pool) if t.usable(now)]
+    return fallback or [t for t in state.fleet.states(record.pool) if t.usable(now)]
 
 
 def _usable(
     state: ServingState, record: CallRecord, names: tuple[TargetName, ...], *, now: float
 ) -> list[TargetState]:
-    some = (state.fleet.state(name) for name in dict.fromkeys(names))
+    states = (state.fleet.state(name) for name in dict.fromkeys(names))
     return [
         target
-        for target in some
+        for target in states
         if target is not None and target.preferred(now) and target.target.name not in record.failed
     ]
--- a/src/azureswitch/serving/_spreading.py
+++ b/src/azureswitch/serving/_spreading.py
@@ -96,10 +96,10 @@
     holders = _holder_count(call, order)
     if holders is None:
         return None
-    most = max(holders, min(MAX_PARTS, len(order), int(work / MIN_PART_SECONDS)))
+    max_count = max(holders, min(MAX_PARTS, len(order), int(work / MIN_PART_SECONDS)))
     reserved_engines = _reserved_for_short(engines, pace)
     best: tuple[float, _Spread] | None = None
-    for count in range(holders, most + 1):
+    for count in range(holders, max_count + 1):
         part = work / count
         blocks = _blocks(part, pace, pauses)
         if best is not None and blocks and len(engines) - count < reserved_engines:
--- a/tests/serving/engines.py
+++ b/tests/serving/engines.py
@@ -42,7 +42,7 @@
 SERVICE = ServiceName("pool")
 TICK_SECONDS = 0.05
 
-CHUNK = 2_048
+MAX_STEP_TOKENS = 2_048
 """Maximum tokens that an engine prefills in a step."""
 
 
@@ -51,7 +51,7 @@
     """Size distribution and objectives of one kind of request."""
 
     prompt: int
-    spread: float
+    sigma: float
     max_prompt: int
     events: int
     objective: float
@@ -89,9 +89,9 @@
     seconds: float
     helper: bool
 
-    def read(self, max_prompt: float) -> tuple[float, float]:
-        """Prefill at most ``most`` tokens, and return the tokens and seconds of prefill done."""
-        share = min(1.0, max_prompt / self.tokens)
+    def advance(self, max_tokens: float) -> tuple[float, float]:
+        """Prefill at most ``max_tokens``, and return the tokens and seconds of prefill done."""
+        share = min(1.0, max_tokens / self.tokens)
         tokens, seconds = share * self.tokens, share * self.seconds
         self.tokens -= tokens
         self.seconds -= seconds
@@ -102,8 +102,8 @@
 class Engine:
     """An engine; each pass prefills as much as fits and emits one event per stream."""
 
-    reading: list[Part] = field(default_factory=list)
-    writing: list[tuple[Request, Callable[[], None]]] = field(default_factory=list)
+    prefilling: list[Part] = field(default_factory=list)
+    decoding: list[tuple[Request, Callable[[], None]]] = field(default_factory=list)
     running: bool = False
 
 
@@ -172,7 +172,7 @@
         """Schedule Poisson arrivals of a kind, at the hosts of one failure domain or at all."""
         at = start + self._random.expovariate(rate)
         while at < start + seconds:
-            size = self._random.lognormvariate(0.0, kind.spread)
+            size = self._random.lognormvariate(0.0, kind.sigma)
             prompt = min(kind.max_prompt, int(kind.prompt * size))
             self._schedule(
                 at,
@@ -190,8 +190,8 @@
 
     def credit(self, kinds: Iterable[Workload]) -> float:
         """Return the share of the total credit of some kinds that was earned on time."""
-        some = [request for request in self.requests if request.kind in kinds]
-        worth = [(request.kind.weight * request.prompt, request.on_time) for request in some]
+        matching = [request for request in self.requests if request.kind in kinds]
+        worth = [(request.kind.weight * request.prompt, request.on_time) for request in matching]
         return sum(value for value, good in worth if good) / sum(value for value, _ in worth)
 
     def _schedule(self, at: float, act: Callable[[], None]) -> None:
@@ -262,36 +262,36 @@
                 seconds=work / len(effect.targets),
                 helper=name != effect.targets[0],
             )
-            self._engines[name].reading.append(part)
-            self._wake(name)
+            self._engines[name].prefilling.append(part)
+            self._start_pass(name)
 
-    def _wake(self, name: TargetName) -> None:
+    def _start_pass(self, name: TargetName) -> None:
         engine = self._engines[name]
-        if engine.running or not (engine.reading or engine.writing):
+        if engine.running or not (engine.prefilling or engine.decoding):
             return
         engine.running = True
-        seconds = self._pace.step * (self._pace.stride if engine.writing else 1)
-        room = float(CHUNK * self._pace.stride)
-        for part in sorted(engine.reading, key=lambda part: not part.helper):
-            if room <= 0.0:
+        seconds = self._pace.step * (self._pace.stride if engine.decoding else 1)
+        budget = float(MAX_STEP_TOKENS * self._pace.stride)
+        for part in sorted(engine.prefilling, key=lambda part: not part.helper):
+            if budget <= 0.0:
                 break
-            tokens, took = part.read(room)
-            room -= tokens
+            tokens, took = part.advance(budget)
+            budget -= tokens
             seconds += took
         self._schedule(self.now + seconds, lambda: self._finish_pass(name))
 
     def _finish_pass(self, name: TargetName) -> None:
         engine = self._engines[name]
         engine.running = False
-        read = [part for part in engine.reading if part.tokens < 1.0]
-        engine.reading = [part for part in engine.reading if part.tokens >= 1.0]
-        for request, end in list(engine.writing):
+        finished = [part for part in engine.prefilling if part.tokens < 1.0]
+        engine.prefilling = [part for part in engine.prefilling if part.tokens >= 1.0]
+        for request, end in list(engine.decoding):
             self._write(engine, request, end)
-        for part in read:
+        for part in finished:
             part.request.parts.discard(name)
             if not part.request.parts:
                 self._begin(part.request)
-        self._wake(name)
+        self._start_pass(name)
 
     def _begin(self, request: Request) -> None:
         host, effect = self._attempts[request.call]
@@ -306,15 +306,15 @@
             )
             self._reduce(host, done)
 
-        engine.writing.append((request, end))
-        self._wake(effect.targets[0])
+        engine.decoding.append((request, end))
+        self._start_pass(effect.targets[0])
 
     def _write(self, engine: Engine, request: Request, end: Callable[[], None]) -> None:
         request.max_pause = max(request.max_pause, self.now - request.last_event)
         request.last_event = self.now
         request.left -= 1
         if request.left <= 0:
-            engine.writing.remove((request, end))
+            engine.decoding.remove((request, end))
             end()
 
 
--- a/tests/serving/test_domains.py
+++ b/tests/serving/test_domains.py
@@ -39,7 +39,7 @@
 )
 SHORT = Workload(
     prompt=4_000,
-    spread=0.9,
+    sigma=0.9,
     max_prompt=30_000,
     events=26,
     objective=0.4,
@@ -48,7 +48,7 @@
 )
 MIDDLE = Workload(
     prompt=40_000,
-    spread=0.5,
+    sigma=0.5,
     max_prompt=110_000,
     events=16,
     objective=1.5,
@@ -57,7 +57,7 @@
 )
 LONG = Workload(
     prompt=230_000,
-    spread=0.5,
+    sigma=0.5,
     max_prompt=900_000,
     events=13,
     objective=4.0,
--- a/tests/serving/test_load.py
+++ b/tests/serving/test_load.py
@@ -18,7 +18,7 @@
 )
 CHAT = Workload(
     prompt=3_300,
-    spread=0.9,
+    sigma=0.9,
     max_prompt=23_800,
     events=32,
     objective=0.3,
@@ -27,7 +27,7 @@
 )
 BRIEF = Workload(
     prompt=40_000,
-    spread=0.5,
+    sigma=0.5,
     max_prompt=110_000,
     events=19,
     objective=1.5,
@@ -36,7 +36,7 @@
 )
 FILE = Workload(
     prompt=114_000,
-    spread=0.55,
+    sigma=0.55,
     max_prompt=600_000,
     events=16,
     objective=2.5,
@@ -45,7 +45,7 @@
 )
 
 
-def play(*, chats: float, briefs: float, files: float, seed: int) -> Simulation:
+def simulate(*, chats: float, briefs: float, files: float, seed: int) -> Simulation:
     """Simulate a burst of short prompts, followed by a mixed load."""
     simulation = Simulation(pace=PACE, engines=18, hosts=3, seed=seed)
     simulation.load(CHAT, rate=55.0, start=0.0, seconds=4.0)
@@ -71,7 +71,7 @@
     def test_on_time(self, chats: float, briefs: float, files: float, least: float) -> None:
         """Long prompts are prefilled without delaying many short streams."""
         simulations = [
-            play(chats=chats, briefs=briefs, files=files, seed=seed) for seed in range(4)
+            simulate(chats=chats, briefs=briefs, files=files, seed=seed) for seed in range(4)
         ]
         shares = [simulation.credit([CHAT, BRIEF, FILE]) for simulation in simulations]
         assert sum(shares) / len(shares) >= least
@@ -110,7 +110,7 @@
 )
 SHORT_PROMPT = Workload(
     prompt=4_960,
-    spread=0.9,
+    sigma=0.9,
     max_prompt=23_800,
     events=32,
     objective=0.32,
@@ -119,7 +119,7 @@
 )
 MEDIUM_PROMPT = Workload(
     prompt=45_000,
-    spread=0.5,
+    sigma=0.5,
     max_prompt=110_000,
     events=19,
     objective=1.5,
@@ -128,7 +128,7 @@
 )
 LONG_PROMPT = Workload(
     prompt=220_000,
-    spread=0.55,
+    sigma=0.55,
     max_prompt=700_000,
     events=16,
     objective=4.1,
@@ -160,7 +160,7 @@
             tokens = int(seconds * FEW_SLOTS_PACE.read_rate)
             kind = Workload(
                 prompt=tokens,
-                spread=0.0,
+                sigma=0.0,
                 max_prompt=tokens,
                 events=1,
                 objective=1.0,
