--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -125,8 +125,8 @@
 ) -> ScoredChoice | None:
     """Return the best choice in this failure domain, or one elsewhere that is clearly better.
 
-    Hosts of different domains do not know each other's recent sends and would pick the same idle
-    engines.
+    Two hosts that do not learn of each other's attempts choose the same idle engines, and attempts
+    at the engines of another domain are reported with a delay of seconds.
     """
     if not state.domains.divided:
         return choose(engines)
