--- a/src/azureswitch/gateway/_front.py
+++ b/src/azureswitch/gateway/_front.py
@@ -198,6 +198,6 @@
 
 def _seconds(arrival: Arrival, route: Route) -> float:
     """Return how long a request may take: as the caller says, and no longer than its route."""
-    if arrival.quarantine_seconds is None:
+    if arrival.seconds_left is None:
         return route.timeout
-    return min(arrival.quarantine_seconds, route.timeout)
+    return min(arrival.seconds_left, route.timeout)
--- a/src/azureswitch/gateway/_model.py
+++ b/src/azureswitch/gateway/_model.py
@@ -92,7 +92,7 @@
     Attributes:
         id: The caller's id of this one try.
         key: The API key, or None.
-        quarantine_seconds: How long the caller will wait, or None where it does not say.
+        seconds_left: How long the caller will wait, or None where it does not say.
         model: The model asked for; empty for plain services.
         prompt_tokens: Tokens of the prompt.
         output_tokens: The most output tokens.
@@ -101,7 +101,7 @@
 
     id: CallId
     key: str | None = None
-    quarantine_seconds: float | None = None
+    seconds_left: float | None = None
     model: str = ""
     prompt_tokens: int = 0
     output_tokens: int = 0
@@ -127,7 +127,7 @@
         arrival: The request's headers, decoded.
         customer: Whose request it is; empty where no keys are asked for.
         target: The target that must run it, and no other at the same address.
-        quarantine_seconds: How long the caller still waits.
+        seconds_left: How long the caller still waits.
         last_event: The id of the last event that the caller has; zero for none.
         urgency: Smaller is admitted first.
         helpers: The engines that help to read the prompt.
@@ -136,7 +136,7 @@
     arrival: Arrival
     customer: CustomerName
     target: str
-    quarantine_seconds: float
+    seconds_left: float
     last_event: int
     urgency: int
     helpers: tuple[Helper, ...] = ()
