--- a/src/azureswitch/serving/_fairness.py
+++ b/src/azureswitch/serving/_fairness.py
@@ -55,7 +55,7 @@
         served: Engine seconds divided by the weight: the virtual counter of fair queueing.
         level: Engine seconds left in its token bucket.
         pending: Engine seconds of long work that are not deducted from ``level`` yet.
-        filled: When ``level`` was last refilled.
+        refilled_at: When ``level`` was last refilled.
         rate: Recent use here and at the peers, in engine seconds per second.
         exceeds: Whether the rate exceeds its fair share by `EXCESS_FACTOR`.
     """
