--- a/src/azureswitch/platform/__init__.py
+++ b/src/azureswitch/platform/__init__.py
@@ -1,6 +1,6 @@
 """The users' platform: its store, its host list, its settings, headers and configuration.
 
-All that translates between the platform's words and the project's stands in this folder.
+Only this package translates between the platform's terms and the project's.
 """
 
 from azureswitch.platform import _headers as header_names
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -1,4 +1,4 @@
-"""Puts configurations in force, each built beside the one that is, and targets with them."""
+"""Applies configurations and target lists; each configuration is built while the old one serves."""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -18,24 +18,25 @@
 from azureswitch.tasks import Tasks
 
 TURN_ENTRIES = 200
-"""Targets and customers over which serving by them has a turn of its own.
+"""Number of targets and customers above which applying them gets its own event loop turn.
 
-It takes 7 ms of a core at 600 targets, 380 customers and 1,000 services (`bench/adoption.py`), and
-after a slice too much of the 20 ms for which one turn may hold the loop on half a core.
+Applying takes 7 ms of a core at 600 targets, 380 customers and 1,000 services
+(`bench/adoption.py`).  In the same turn as a slice of work it would take too much of the 20 ms for
+which one turn may block the loop on half a core.
 """
 
 
 class Adoption:
-    """Takes what the store holds, and gives it to the gateway.
+    """Applies the configuration and the targets in the store to the gateway.
 
-    A configuration is built in slices.  What fits into one slice is in force at once.  Of those
-    that come while another one is built, only the newest is built next.
+    A configuration is built in slices.  One that fits into a single slice is applied at once.  If
+    several arrive while another one is being built, only the newest of them is built next.
 
     Args:
         gateway: The gateway.
         reader: Reads targets.
-        foreign: Notes what cannot be read.
-        on_configured: Called when there are a configuration and a target.
+        foreign: Records the entries that cannot be read.
+        on_configured: Called each time that the gateway has both a configuration and a target.
     """
 
     def __init__(
@@ -56,32 +57,32 @@
         self._tasks = Tasks(prefix="edge")
 
     def configure(self, objects: tuple[StoredObject, ...]) -> None:
-        """Put the configuration in force that the store holds, now or soon."""
+        """Apply the configuration in the store, at once or in the background."""
         named = [item for item in objects if item.name == CONFIGURATION_NAME]
         if not named:
-            self._foreign.see(CONFIGURATION_KIND, ())
+            self._foreign.set_entries(CONFIGURATION_KIND, ())
             return
         self._newest = named[-1]
         if self._working:
             return
         work = self._work()
         if not run_slice(work):
-            self._tasks.spawn(_go_on(work), name="adoption")
+            self._tasks.spawn(_finish(work), name="adoption")
 
     def list_targets(self, objects: tuple[StoredObject, ...]) -> None:
-        """Send requests to the targets that the store lists, from now on."""
+        """Replace the targets that requests are sent to by those that the store lists."""
         self._listed = objects
         found = self._reader.read(objects, deployment=self._gateway.deployment)
-        self._foreign.see(TARGETS_KIND, found.foreign)
+        self._foreign.set_entries(TARGETS_KIND, found.foreign)
         self._gateway.set_targets(found.targets)
-        self._tell_configured()
+        self._notify_configured()
 
     async def stop(self, *, timeout: float) -> None:
-        """Leave off what is being built, and wait for that for some seconds."""
+        """Cancel the build in progress, and wait at most ``timeout`` seconds for it to end."""
         await self._tasks.stop(timeout=timeout)
 
     def _work(self) -> Steps[None]:
-        """Build the newest configuration until there is none that is newer."""
+        """Build and apply the newest configuration until no newer one has arrived."""
         self._working = True
         try:
             while self._newest is not None:
@@ -89,10 +90,10 @@
                 try:
                     deployment = yield from deployment_steps(item)
                 except DeploymentUnreadableError as error:
-                    # The one in force stays.
-                    self._foreign.see(CONFIGURATION_KIND, (_unreadable(item, error),))
+                    # The configuration in force is kept.
+                    self._foreign.set_entries(CONFIGURATION_KIND, (_unreadable(item, error),))
                     continue
-                self._foreign.see(CONFIGURATION_KIND, ())
+                self._foreign.set_entries(CONFIGURATION_KIND, ())
                 if self._gateway.is_news(deployment):
                     prepared = yield from prepare(deployment)
                     yield from self._put_in_force(prepared)
@@ -100,23 +101,23 @@
             self._working = False
 
     def _put_in_force(self, prepared: Prepared) -> Steps[None]:
-        """Read the targets as the configuration names them, and serve by both in one turn."""
+        """Read the targets for the new configuration, and apply both in one event loop turn."""
         found, listed = None, self._listed
-        # The store tells of changes 0.15 s apart, so that this ends.
+        # Changes from the store arrive at least 0.15 s apart, so this loop ends.
         while found is None or listed is not self._listed:
             listed = self._listed
             found = yield from self._reader.read_steps(listed, deployment=prepared.deployment)
             yield len(listed) + len(prepared.customers) > TURN_ENTRIES
-        self._foreign.see(TARGETS_KIND, found.foreign)
+        self._foreign.set_entries(TARGETS_KIND, found.foreign)
         self._gateway.put_in_force(prepared, targets=found.targets)
-        self._tell_configured()
+        self._notify_configured()
 
-    def _tell_configured(self) -> None:
+    def _notify_configured(self) -> None:
         if self._gateway.configured:
             self._on_configured()
 
 
-async def _go_on(work: Steps[None]) -> None:
+async def _finish(work: Steps[None]) -> None:
     await sleep(0)
     while not run_slice(work):
         await sleep(0)
--- a/src/azureswitch/platform/_deployment.py
+++ b/src/azureswitch/platform/_deployment.py
@@ -1,7 +1,8 @@
-"""The operator's configuration, as the store holds it.
+"""Decodes the operator's configuration from the store.
 
-What is decoded holds no cycles (`gc=False`): as thousands of objects that collections look through,
-it made one of 4,000 routes hold the event loop for 7.5 ms of a core in place of 4.
+The decoded structs contain no reference cycles and are excluded from garbage collection
+(`gc=False`).  When the collector tracked them, a configuration of 4,000 routes blocked the event
+loop for 7.5 ms of a core instead of 4.
 """
 
 from collections.abc import Callable, Iterable
@@ -25,7 +26,7 @@
 TARGETS_KIND = "servers"
 
 MILLISECONDS = 1_000.0
-"""In a second."""
+"""Milliseconds in a second."""
 
 THOUSAND = 1_000.0
 """Tokens in the unit of `WirePace.context_step`."""
@@ -35,13 +36,13 @@
 
 
 class WireUsual(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Mean counts of tokens."""
+    """Mean token counts of a service's requests."""
 
     answer: float = 0.0
 
 
 class WirePace(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """How fast a service's engines work; times are in milliseconds."""
+    """The processing speed of a service's engines; times are in milliseconds."""
 
     slots: int = msgspec.field(name="Slots", default=1)
     memory: int = msgspec.field(name="KvCapacity", default=0)
@@ -56,21 +57,21 @@
 
 
 class WireService(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A service; it has a pace where engines stand behind it."""
+    """A service; it has a pace if it is served by engines."""
 
     name: ServiceName = msgspec.field(name="Name")
     pace: WirePace | None = msgspec.field(name="Engine", default=None)
 
 
 class WireShare(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A service's part of a route."""
+    """A service's weighted share of the traffic of a route."""
 
     service: ServiceName = msgspec.field(name="Service")
     weight: float = msgspec.field(name="Weight", default=1.0)
 
 
 class WireRoute(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A route: to one service, or to several by weight."""
+    """A route to one service, or to several by weight."""
 
     name: str = msgspec.field(name="Name", default="")
     host: str = msgspec.field(name="Host")
@@ -88,7 +89,7 @@
 
 
 class WireLimits(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """What a caller's connection may ask."""
+    """Limits on a caller's connection."""
 
     header_bytes: int = msgspec.field(name="MaxHeaderBytes", default=16_384)
     body_bytes: int = msgspec.field(name="MaxBodyBytes", default=4_194_304)
@@ -97,7 +98,7 @@
 
 
 class WireCustomer(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A customer and its keys."""
+    """A customer and its API keys."""
 
     name: CustomerName = msgspec.field(name="Name")
     keys: tuple[str, ...] = msgspec.field(name="ApiKeys", default=())
@@ -114,19 +115,19 @@
 
 
 def decode_deployment(item: StoredObject) -> Deployment:
-    """Return the configuration that an object holds.
+    """Decode a configuration from an object.
 
     Raises:
-        DeploymentUnreadableError: It is none.
+        DeploymentUnreadableError: The object is not a valid configuration.
     """
     return finish(deployment_steps(item))
 
 
 def deployment_steps(item: StoredObject) -> Steps[Deployment]:
-    """Read the configuration that an object holds, in steps.
+    """Decode a configuration from an object, in steps.
 
     Raises:
-        DeploymentUnreadableError: It is none.
+        DeploymentUnreadableError: The object is not a valid configuration.
     """
     try:
         wire = msgspec.json.decode(item.value, type=WireDeployment)
@@ -149,7 +150,7 @@
 
 
 def _each(convert: Callable[[Wire], Item], wires: Iterable[Wire]) -> Steps[tuple[Item, ...]]:
-    """Convert one after the other, each in a step."""
+    """Convert the items in order, one per step."""
     items: list[Item] = []
     for wire in wires:
         items.append(convert(wire))
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""Headers between callers, this system and targets."""
+"""Translates the HTTP headers exchanged with callers and targets."""
 
 import re
 from collections.abc import Iterable
@@ -13,30 +13,30 @@
 from azureswitch.platform import _headers as names
 from azureswitch.server import HttpRequest
 
-USUAL_URGENCY = 5
-"""The urgency class of a request that names none."""
+DEFAULT_URGENCY = 5
+"""The urgency class of a request that does not specify one."""
 
-MOST_URGENCY = 9
-"""The class that is admitted last; 0 is admitted first."""
+MAX_URGENCY = 9
+"""The urgency class admitted last; class 0 is admitted first."""
 
-LOGGED_MOST = 64
-"""Characters of a limit's text that are kept."""
+MAX_LOGGED_CHARACTERS = 64
+"""Characters of a limit header's value that are logged."""
 
 DECIMAL = re.compile(r"[0-9]{1,300}(\.[0-9]{1,300})?")
-"""A number that is neither negative nor too large to be computed with."""
+"""A non-negative decimal number that fits into a float."""
 
 MISDIRECTED = HTTPStatus.MISDIRECTED_REQUEST
 
 
 class Failure(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of a failure of ours."""
+    """The body of an error response of this system."""
 
     error: str = msgspec.field(name="Error")
     message: str = msgspec.field(name="Message")
 
 
 class PlatformDialect:
-    """The `azureswitch.gateway.Dialect` of the platform."""
+    """Implements `azureswitch.gateway.Dialect` for the platform's headers."""
 
     def read(self, request: HttpRequest) -> Arrival:
         """Decode a caller's headers."""
@@ -54,11 +54,11 @@
         )
 
     def id_of(self, request: HttpRequest) -> str:
-        """Return the caller's id of this one try, or nothing where it gives none."""
+        """Return the caller's id of this attempt, or an empty string if it sent none."""
         return request.header(names.ID) or ""
 
     def sending(self, request: HttpRequest, sending: Sending) -> Headers:
-        """Return the headers with which an attempt is sent to a target."""
+        """Return the headers of an attempt to a target."""
         passed = _without(request.headers, names.SET_BY_US)
         added = [
             (names.MILLISECONDS_LEFT, str(max(1, int(sending.seconds_left * 1_000.0)))),
@@ -69,7 +69,7 @@
         if sending.last_event:
             added.append((names.LAST_EVENT, str(sending.last_event)))
         if sending.arrival.model:
-            urgency = min(MOST_URGENCY, max(0, USUAL_URGENCY + sending.urgency))
+            urgency = min(MAX_URGENCY, max(0, DEFAULT_URGENCY + sending.urgency))
             added.append((names.URGENCY, str(urgency)))
         if sending.helpers:
             helpers = ",".join(_helper(helper) for helper in sending.helpers)
@@ -77,7 +77,7 @@
         return (*passed, *added)
 
     def judge(self, head: HttpHead) -> Verdict:
-        """Decode the head of a target's answer."""
+        """Decode the head of a target's response."""
         promised = head.header(name=names.NOT_RUN) is not None
         misdirected = head.status == MISDIRECTED
         return Verdict(
@@ -87,17 +87,17 @@
             at_fault=head.header(name=names.AT_FAULT),
             sealed=head.header(name=names.SEAL) is not None,
             readable=head.header(name="content-encoding") is None,
-            # Whoever refuses a request that is meant for another target speaks of itself.
+            # A misdirected request reached another target, whose headers describe itself.
             leaving=head.header(name=names.LEAVING) == names.TRUE and not misdirected,
             limit=None if misdirected else _limit(head),
         )
 
     def answer(self, head: HttpHead) -> Headers:
-        """Return the headers of a target's answer that go on to the caller."""
+        """Return the headers of a target's response that are passed on to the caller."""
         return _without(head.headers, frozenset())
 
     def failure(self, error: AzureswitchError) -> tuple[Headers, bytes]:
-        """Return the headers and the body that tell a caller of a failure of ours."""
+        """Return the headers and the body of an error response to a caller."""
         headers: Headers = (("content-type", "application/json"),)
         if error.retry_after is not None:
             headers = (*headers, (names.RETRY_AFTER, f"{error.retry_after:.3f}"))
@@ -105,16 +105,16 @@
 
 
 def _limit(head: HttpHead) -> NamedLimit | None:
-    """Return the limit that a target names, the smallest where it names several.
+    """Return the request rate limit that a target sent, the smallest if it sent several.
 
-    It has no rate where one of them is no decimal number.
+    The limit has no rate if any of the values is not a decimal number.
     """
     texts = [value.strip() for name, value in head.headers if name == names.LIMIT]
     if not texts:
         return None
     readable = all(DECIMAL.fullmatch(text) for text in texts)
     rate = min(map(float, texts)) if readable else None
-    return NamedLimit(text=", ".join(texts)[:LOGGED_MOST], rate=rate)
+    return NamedLimit(text=", ".join(texts)[:MAX_LOGGED_CHARACTERS], rate=rate)
 
 
 def _helper(helper: Helper) -> str:
@@ -145,7 +145,7 @@
 
 
 def _tokens(value: str | None) -> tuple[int, int]:
-    """Return the tokens of the prompt and the most output tokens."""
+    """Return the prompt tokens and the maximum output tokens."""
     if not value:
         return 0, 0
     prompt, _, output = value.partition(",")
@@ -156,7 +156,7 @@
 
 
 def _without(headers: Iterable[tuple[str, str]], dropped: frozenset[str]) -> Headers:
-    """Return the headers but those of one connection alone and some more."""
+    """Return the headers without the hop-by-hop headers and those in ``dropped``."""
     pairs = tuple(headers)
     listed = {
         token.strip().lower()
--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -1,4 +1,4 @@
-"""A gateway and what connects it to the users' platform."""
+"""Connects a gateway to the users' platform."""
 
 import asyncio
 from functools import singledispatchmethod
@@ -26,7 +26,7 @@
 from azureswitch.platform._foreign import ForeignTracker
 from azureswitch.platform._orders import HttpReservations
 from azureswitch.platform._quarantine import QUARANTINE_KIND, StoreQuarantine
-from azureswitch.platform._roster import ROSTER_KIND, Seat, StoreHostList
+from azureswitch.platform._roster import ROSTER_KIND, HostEntry, StoreHostList
 from azureswitch.platform._settings import (
     PlatformSettings,
 )
@@ -45,55 +45,56 @@
 )
 from azureswitch.tasks import end_tasks, keep_running
 
-RETURN_GRACE = 1.8
-"""Seconds after the store's return for which a target that is missing stays.
+RETURN_GRACE_SECONDS = 1.8
+"""Seconds for which a missing target is kept after the store becomes available again.
 
-Targets that live write themselves again within about 2 s, which is also when one that has left must
-get nothing new any more.
+Live targets register again within about 2 s, which is also the time within which a target that has
+left must stop receiving new requests.
 """
 
-STORE_TIMEOUT = 1.0
-"""Seconds that a call to the store may take; it answers in 4 ms, and in 0.3 s where it is slow."""
+STORE_TIMEOUT_SECONDS = 1.0
+"""Timeout of a call to the store, in seconds; it responds in 4 ms, or in 0.3 s when slow."""
 
-START_WAIT = 0.3
+START_WAIT_SECONDS = 0.3
 """Seconds for which callers wait for the first configuration.
 
-They connect while the program is loaded, and give up a second later.
+They connect while the program is loading, and time out a second later.
 """
 
-STORE_PAUSE = 0.15
-"""Seconds between two calls of a watch that bring changes; at a start all targets enter."""
+STORE_PAUSE_SECONDS = 0.15
+"""Seconds between watch calls that return changes; all targets register at a start."""
 
-RETRY_MARGIN = 0.8
-"""Share of the permitted repeated sends that is used, as hosts count their own alone."""
+RETRY_BUDGET_SHARE = 0.8
+"""Fraction of the permitted retries that is used, as each host counts only its own."""
 
 FULL_HOSTS = 128
-"""Hosts up to which each hears at once of each send of the others, and not of its failure domain's.
+"""Largest fleet in which each host is notified at once of the sends of all other hosts.
 
-Without it 77 hosts chose engines by their own sends alone.
+In a larger fleet it is notified only of those of its own failure domain.  Without this, 77 hosts
+chose engines by their own sends alone.
 """
 
-END_SECONDS = 0.05
-"""Seconds in which each loop of the process ends that was cancelled; each takes a few turns."""
+SHUTDOWN_SECONDS = 0.05
+"""Seconds that cancelled tasks get to end at shutdown; each needs a few event loop turns."""
 
 METRICS_PORT = 9464
-"""The port on which metrics and status are read, as the deploy file says."""
+"""The port that serves metrics and status, as in the deploy file."""
 
 MAX_FLEET_HOSTS = 420
-"""Hosts that the burst of retries is shared among while none can be known of: the largest fleet.
+"""Fleet size assumed for sharing the retry burst while the real one is unknown: the largest fleet.
 
-Shared among nine, hosts of a fleet of 70 that all started at once sent again more often than their
-targets bear, on 1 of 8 hunted days.
+With an assumed size of nine, a fleet of 70 hosts that started together retried more often than its
+targets can bear, in 1 of 8 simulated days of fault search.
 """
 
 
 class Edge:
-    """A gateway and what connects it to the platform.
+    """Runs a gateway on the platform.
 
     Args:
         settings: The settings file.
-        log: Takes what is decided.
-        lines: Writes the log, and counts what it had to drop.
+        log: Receives the log entries of the gateway.
+        lines: Writes the log, and counts the lines that it dropped.
         seed: Seeds every random choice.
     """
 
@@ -119,7 +120,7 @@
         self._gateway = Gateway(
             settings=_gateway_settings(settings),
             dialect=PlatformDialect(),
-            reservations=HttpReservations(on_answer=self._order_answered),
+            reservations=HttpReservations(on_answer=self._on_order_answer),
             publish=self._publish,
             metrics=self._metrics,
             log=log,
@@ -150,7 +151,7 @@
             hosts=StoreHostList(
                 store=self._store,
                 host=settings.host,
-                seat=Seat(place=settings.place, address=address),
+                entry=HostEntry(place=settings.place, address=address),
                 foreign=self._foreign,
             ),
             seed=seed,
@@ -172,7 +173,7 @@
             store=self._connect_store(settings),
             kind=TARGETS_KIND,
             publish=self._adoption.list_targets,
-            return_grace=RETURN_GRACE,
+            return_grace=RETURN_GRACE_SECONDS,
             seed=seed + 1,
         )
         self._digests = Digests(
@@ -193,17 +194,17 @@
             clock=elapsed,
         )
 
-    def reread(self, settings: PlatformSettings) -> None:
-        """Take over what may change while the process runs: where the store is."""
+    def reload(self, settings: PlatformSettings) -> None:
+        """Apply the settings that may change while the process runs: the store's address."""
         for store in self._stores:
-            store.move(address=settings.store.address)
+            store.set_address(address=settings.store.address)
 
     async def serve(self, stop: StopRequest, *, callers: socket | None = None) -> None:
-        """Serve until told to stop, and then stop gracefully.
+        """Serve until a stop is requested, and then stop gracefully.
 
         Args:
-            stop: The order to stop.
-            callers: A socket that listens for callers already, or None.
+            stop: The stop request.
+            callers: A socket that already listens for callers, or None.
 
         Raises:
             OSError: An address cannot be used.
@@ -223,27 +224,27 @@
         await self._gateway.start(callers=callers)
         told = await stop.wait()
         leaving = asyncio.create_task(self._membership.leave(), name="leave")
-        # Whatever else fails to end: requests have their answers when this returns.
+        # When this returns, all requests have been answered, whatever else fails to end.
         await self._gateway.stop(told=told)
-        # Beside each other: the time of grace is all but over.
+        # Runs concurrently, because the grace period is almost over.
         await asyncio.gather(
-            end_tasks([*loops, leaving], prefix="edge", timeout=END_SECONDS),
-            self._adoption.stop(timeout=END_SECONDS),
-            self._digests.stop(timeout=END_SECONDS),
-            self._quarantine.stop(timeout=END_SECONDS),
+            end_tasks([*loops, leaving], prefix="edge", timeout=SHUTDOWN_SECONDS),
+            self._adoption.stop(timeout=SHUTDOWN_SECONDS),
+            self._digests.stop(timeout=SHUTDOWN_SECONDS),
+            self._quarantine.stop(timeout=SHUTDOWN_SECONDS),
             self._close_network(),
         )
 
     async def _close_network(self) -> None:
         try:
-            async with asyncio.timeout(END_SECONDS):
+            async with asyncio.timeout(SHUTDOWN_SECONDS):
                 await self._network.close()
         except TimeoutError:
-            logging.warning("edge: Calls of peers were still open at the end.")
+            logging.warning("edge: Calls from peers were still open at shutdown.")
 
     async def _until_configured(self) -> None:
         try:
-            async with asyncio.timeout(START_WAIT):
+            async with asyncio.timeout(START_WAIT_SECONDS):
                 await self._configured.wait()
                 await self._quarantine.wait_read()
         except TimeoutError:
@@ -280,7 +281,7 @@
     def _(self, effect: AnswerPermit) -> None:
         self._permits.answer(effect)
 
-    def _order_answered(self, address: str, ticket: str, head: HttpHead) -> None:
+    def _on_order_answer(self, address: str, ticket: str, head: HttpHead) -> None:
         self._gateway.hear_order(address=address, order=ticket, head=head)
 
     def _recall(self, reports: tuple[CrashReport, ...]) -> None:
@@ -288,10 +289,10 @@
         shell.dispatch(CrashesRecalled(now=shell.now, reports=reports))
 
     def _listeners(self) -> tuple[Member, ...]:
-        """Return the hosts that are told of sends: members, and those that will be soon.
+        """Return the hosts that are notified of sends: members, and hosts expected to join.
 
         Of 195 hosts that start together, each knows 40 of the others after 1.5 s and 179 after 3 s
-        (in virtual time); all are in the host list when it has started.
+        (in virtual time), but all of them are in the host list once it has started.
         """
         return self._membership.members + self._membership.expected
 
@@ -311,17 +312,20 @@
     def _connect_store(self, settings: PlatformSettings) -> HttpStore:
         store = HttpStore(
             address=settings.store.address,
-            timeout=STORE_TIMEOUT,
-            pause=STORE_PAUSE,
+            timeout=STORE_TIMEOUT_SECONDS,
+            pause=STORE_PAUSE_SECONDS,
             called=self._count_call,
-            unnamed=self._foreign.see_unnamed,
+            unnamed=self._foreign.update_unnamed,
             restored=self._store_restored,
         )
         self._stores.append(store)
         return store
 
     def _store_restored(self, era: int) -> None:
-        """Write again what the store may have lost; targets and operators do so themselves."""
+        """Rewrite the quarantine entries that a restored store may have lost.
+
+        Targets and operators rewrite their own entries.
+        """
         logging.warning("edge: The store came back from an older copy; its era is %d.", era)
         self._metrics.count(
             name="store_restorations",
@@ -348,8 +352,8 @@
         readiness=settings.addresses.readiness,
         metrics=f"{settings.ip}:{METRICS_PORT}",
         grace=settings.bounds.grace_seconds,
-        retry_share=settings.bounds.retry_ratio * RETRY_MARGIN,
-        retry_burst=settings.bounds.retry_slack * RETRY_MARGIN,
+        retry_share=settings.bounds.retry_ratio * RETRY_BUDGET_SHARE,
+        retry_burst=settings.bounds.retry_slack * RETRY_BUDGET_SHARE,
         hosts=MAX_FLEET_HOSTS,
         full_hosts=FULL_HOSTS,
     )
--- a/src/azureswitch/platform/_entries.py
+++ b/src/azureswitch/platform/_entries.py
@@ -1,12 +1,12 @@
-"""Reads the store's pages and watches entry by entry, whoever wrote the entries.
+"""Parses the store's listings and watch responses, tolerating invalid entries of other programs.
 
-A page is decoded at once.  Only where that fails, for one entry that does not fit the form, each is
-decoded by itself; and where one holds bytes that are no JSON, the page is cut up by its brackets,
-which takes 20 ms for 600 entries, and the other two ways 1 and 2.
+A page is decoded as a whole.  If that fails because one entry does not match the schema, each entry
+is decoded separately.  If an entry is not valid JSON, the page is split at its brackets.  For 600
+entries these three ways take 1, 2 and 20 ms.
 
-An entry whose name and version can be read keeps them, so that it takes the place of what it was
-before; its bytes are such that nobody who reads its content takes them for good.  Of an entry
-without them nothing can be said but that it is there.
+An invalid entry whose name and version can be read keeps them, so that it replaces its previous
+state; its value is set to bytes that fail to decode as any kind.  An entry without them is only
+counted.
 """
 
 import re
@@ -24,36 +24,36 @@
 
 Form = TypeVar("Form")
 
-VERSION_MOST = 2**63 - 1
-"""The greatest version that hosts can tell each other in a message."""
+MAX_VERSION = 2**63 - 1
+"""The greatest version that a message between hosts can hold."""
 
 _STRING = rb'"(?:[^"\\]++|\\.)*+"'
 _NAME = re.compile(_STRING, re.DOTALL)
 
 _MARK = re.compile(rb'(?:[^"\[\]{},]++|%s)*+(["\[\]{},])' % _STRING, re.DOTALL)
-"""The next bracket or comma outside of strings, or the quote of a string that has no end."""
+"""The next bracket or comma outside of strings, or the quote of an unterminated string."""
 
 _BRACKET = re.compile(rb'(?:[^"\[\]{}]++|%s)*+(["\[\]{}])' % _STRING, re.DOTALL)
-"""The same without commas; of those that stand deeper than one list none matters."""
+"""The same without commas, which only matter at the outermost level."""
 
 _CLOSING = {b"[": b"]", b"{": b"}"}
 
 
 class EntryMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """Name and version of an entry, both of which must be there."""
+    """Name and version of an entry, both required."""
 
     name: Annotated[str, msgspec.Meta(min_length=1)] = msgspec.field(name="Name")
-    version: Annotated[int, msgspec.Meta(ge=0, le=VERSION_MOST)] = msgspec.field(name="Revision")
+    version: Annotated[int, msgspec.Meta(ge=0, le=MAX_VERSION)] = msgspec.field(name="Revision")
 
 
 class RemovedMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """Name of an entry that was removed; its version says nothing of use."""
+    """Name of a removed entry; its version is not used."""
 
     name: Annotated[str, msgspec.Meta(min_length=1)] = msgspec.field(name="Name")
 
 
 class WireEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One entry, as `azureswitch.platform._wire.WireObject` with nothing left out of its head."""
+    """One entry: a `azureswitch.platform._wire.WireObject` whose metadata are required."""
 
     metadata: EntryMetadata = msgspec.field(name="Metadata")
     content: msgspec.Raw = msgspec.field(name="Spec", default=msgspec.Raw(NULL))
@@ -69,7 +69,7 @@
 
 
 class WireRawPage(msgspec.Struct, frozen=True, kw_only=True):
-    """A page of a listing whose entries are still to be decoded."""
+    """A page of a listing whose entries are not decoded yet."""
 
     items: tuple[msgspec.Raw, ...] = msgspec.field(name="Items", default=())
     more: bool = msgspec.field(name="HasMore", default=False)
@@ -84,14 +84,14 @@
 
 
 class WireEvents(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a watch."""
+    """The response to a watch."""
 
     changes: tuple[WireEvent, ...] = msgspec.field(name="events", default=())
     version: int = msgspec.field(name="AsOf", default=0)
 
 
 class WireRawEvents(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a watch whose changes are still to be decoded."""
+    """The response to a watch whose changes are not decoded yet."""
 
     changes: tuple[msgspec.Raw, ...] = msgspec.field(name="events", default=())
     version: int = msgspec.field(name="AsOf", default=0)
@@ -102,7 +102,7 @@
 
     Attributes:
         items: The objects whose name and version can be read.
-        unnamed: What is wrong with each of the others.
+        unnamed: The fault of each of the other entries.
         more: Whether another page follows.
         version: The version at which the page was read.
     """
@@ -114,11 +114,11 @@
 
 
 class Changes(Struct, frozen=True, kw_only=True):
-    """The answer to a watch.
+    """The response to a watch.
 
     Attributes:
-        changes: What has changed.
-        unnamed: What is wrong with each entry that changed and has no name or version.
+        changes: The changed objects.
+        unnamed: The fault of each changed entry without a readable name or version.
         version: The version to watch from next.
     """
 
@@ -128,10 +128,10 @@
 
 
 def read_listing(body: bytes, *, kind: str) -> Page:
-    """Return a page of a listing.
+    """Parse a page of a listing.
 
     Raises:
-        ValueError: The bytes are no page.
+        ValueError: The bytes are not a page.
     """
     try:
         page = msgspec.json.decode(body, type=WirePage)
@@ -142,10 +142,10 @@
 
 
 def read_changes(body: bytes, *, kind: str) -> Changes:
-    """Return the answer to a watch.
+    """Parse the response to a watch.
 
     Raises:
-        ValueError: The bytes are none.
+        ValueError: The bytes are not a response to a watch.
     """
     try:
         page = msgspec.json.decode(body, type=WireEvents)
@@ -159,11 +159,11 @@
 
 
 def read_entry(entry: bytes, *, kind: str) -> StoredObject | str:
-    """Return an entry, or what is wrong with its name and version."""
+    """Return an entry, or the fault of its name or version."""
     try:
         return _object(msgspec.json.decode(entry, type=WireEntry), kind=kind)
     except UNDECODED:
-        pass  # Name and version may hold all the same.
+        pass  # Name and version may still be valid.
     try:
         metadata = _metadata(entry, EntryMetadata)
     except UNDECODED as error:
@@ -172,10 +172,10 @@
 
 
 def read_value(content: bytes) -> bytes:
-    """Return the value that an entry's content holds.
+    """Return the value in an entry's content.
 
-    A value of our own is a text in base64.  Another writer's text is no value of ours, and stays
-    the JSON that it is.
+    This system writes values as base64 strings.  A string that is not base64 was written by another
+    program and is returned as JSON.
     """
     if content[:1] != b'"':
         return content
@@ -190,7 +190,7 @@
         page = msgspec.json.decode(body, type=WireRawPage)
         entries = tuple(bytes(entry) for entry in page.items)
     except UNDECODED:
-        entries, rest = _cut_out(body, name=b"Items")
+        entries, rest = _split_member(body, name=b"Items")
         page = _decode_rest(rest, WireRawPage)
     found = [read_entry(entry, kind=kind) for entry in entries]
     return Page(
@@ -206,7 +206,7 @@
         page = msgspec.json.decode(body, type=WireRawEvents)
         events = tuple(bytes(event) for event in page.changes)
     except UNDECODED:
-        events, rest = _cut_out(body, name=b"events")
+        events, rest = _split_member(body, name=b"events")
         page = _decode_rest(rest, WireRawEvents)
     found = [_read_event(event, kind=kind, version=page.version) for event in events]
     return Changes(
@@ -224,7 +224,7 @@
 
 
 def _read_event(event: bytes, *, kind: str, version: int) -> StoreChange | str:
-    """Return a change, or what is wrong with it."""
+    """Return a change, or its fault."""
     try:
         members = _members(event)
     except ValueError as error:
@@ -237,7 +237,7 @@
     if isinstance(found, str):
         return found
     if removed != b"false":
-        # Whether it is there cannot be said, and it must not be used as if it were.
+        # Whether the entry was removed is unknown; its value must not be usable.
         found = StoredObject(kind=kind, name=found.name, version=found.version, value=event)
     return _change(found, removed=False, most=version)
 
@@ -270,19 +270,19 @@
 def _change(item: StoredObject, *, removed: bool, most: int) -> StoreChange:
     """Return a change.
 
-    A version that is greater than the store's own, where that is told, is taken for the store's: a
-    watch that went on from there would hear of nothing any more.
+    A version greater than the store's own, if that is known, is replaced by the store's.  A watch
+    that continued from the greater one would receive no more changes.
     """
     if 0 < most < item.version:
         item = replace(item, version=most)
     return StoreChange(kind=ChangeKind.DELETED if removed else ChangeKind.PUT, item=item)
 
 
-def _cut_out(body: bytes, *, name: bytes) -> tuple[tuple[bytes, ...], bytes]:
-    """Return the elements of a member of an object, and the object without it.
+def _split_member(body: bytes, *, name: bytes) -> tuple[tuple[bytes, ...], bytes]:
+    """Return the elements of a member of an object, and the object without that member.
 
     Raises:
-        ValueError: The bytes are no object, or the member is no list.
+        ValueError: The bytes are not an object, or the member is not a list.
     """
     members = _members(body)
     elements = tuple(_parts(members.pop(name, b"[]"), opening=b"["))
@@ -291,10 +291,10 @@
 
 
 def _members(container: bytes) -> dict[bytes, bytes]:
-    """Return the members of an object, without decoding them.
+    """Return the members of an object without decoding them.
 
     Raises:
-        ValueError: The bytes are no object.
+        ValueError: The bytes are not an object.
     """
     members: dict[bytes, bytes] = {}
     for part in _parts(container, opening=b"{"):
@@ -307,10 +307,10 @@
 
 
 def _parts(container: bytes, *, opening: bytes) -> Iterator[bytes]:
-    """Yield what stands between the commas of a list or an object.
+    """Yield the comma-separated parts of a list or an object.
 
     Raises:
-        ValueError: The bytes are neither, or have quotes or brackets without an end.
+        ValueError: The bytes are neither, or contain an unterminated string or unmatched brackets.
     """
     container = container.strip()
     if not container.startswith(opening):
--- a/src/azureswitch/platform/_headers.py
+++ b/src/azureswitch/platform/_headers.py
@@ -1,7 +1,7 @@
-"""The platform's header names, each decoded here and used nowhere outside this folder."""
+"""The names of the platform's HTTP headers, translated only in this package."""
 
 ID = "x-azureswitch-attempt-id"
-"""The caller's id of one try."""
+"""The caller's id of one attempt."""
 
 MILLISECONDS_LEFT = "x-azureswitch-time-remaining"
 
@@ -12,7 +12,7 @@
 MODEL = "x-azureswitch-model"
 
 TOKENS = "x-azureswitch-token-counts"
-"""Tokens of the prompt and the most output tokens, with a comma between."""
+"""Prompt tokens and maximum output tokens, separated by a comma."""
 
 URGENCY = "x-azureswitch-urgency-class"
 
@@ -21,23 +21,23 @@
 HELPERS = "x-azureswitch-helpers"
 
 SEAL = "x-azureswitch-response-seal"
-"""The mark that a target's program puts on its own answers."""
+"""Set by a target's program on the responses that it produced itself."""
 
 NOT_RUN = "x-azureswitch-not-executed"
 
 AT_FAULT = "at-server"
-"""Address of the helping engine that failed."""
+"""Address of the helper engine that failed."""
 
 LEAVING = "server-leaving"
-"""Whether the target that answers is about to leave, as `TRUE` where it is."""
+"""`TRUE` if the responding target is about to leave."""
 
 TRUE = "1"
 
 LIMIT = "server-limit"
-"""The requests a second, as a decimal number, that a target in need takes from all hosts."""
+"""Requests a second that an overloaded target accepts from all hosts together, in decimal."""
 
 STORE_ERA = "store-era"
-"""How often the store has come back from a copy."""
+"""Number of times that the store was restored from a backup."""
 
 LAST_EVENT = "last-event-id"
 
@@ -58,4 +58,4 @@
         KEY,
     )
 )
-"""Headers that a target gets from this system whatever the caller sent."""
+"""Headers that this system sets on requests to targets; the caller's values are dropped."""
--- a/src/azureswitch/platform/_hosts.py
+++ b/src/azureswitch/platform/_hosts.py
@@ -9,19 +9,23 @@
 from azureswitch.platform._wire import HOSTS_PATH, WireHosts
 from azureswitch.ports import ListedHost
 
-DEFAULT_TIMEOUT = 2.0
-"""Seconds that a call may take."""
+DEFAULT_TIMEOUT_SECONDS = 2.0
+"""Timeout of a call, in seconds."""
 
 
 class HttpHostList:
-    """The `azureswitch.ports.HostList` port over HTTP."""
+    """Implements the `azureswitch.ports.HostList` port over HTTP."""
 
-    def __init__(self, *, address: str, timeout: float = DEFAULT_TIMEOUT) -> None:
+    def __init__(self, *, address: str, timeout: float = DEFAULT_TIMEOUT_SECONDS) -> None:
         self._client = HttpClient(address=address)
         self._timeout = timeout
 
     async def hosts(self) -> tuple[ListedHost, ...]:
-        """Return live and leaving hosts."""
+        """Return the live and the leaving hosts.
+
+        Raises:
+            HostListError: The host list is unavailable or its response is invalid.
+        """
         try:
             answer = await self._client.request(
                 method="GET", path=HOSTS_PATH, timeout=self._timeout
--- a/src/azureswitch/platform/_orders.py
+++ b/src/azureswitch/platform/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines that set memory aside and free it."""
+"""Sends engines the orders that reserve and release memory."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -15,17 +15,17 @@
 
 ORDER_PATH = "/api/order"
 
-ORDER_TIMEOUT = 0.6
-"""Seconds that an order may take; a round trip between failure domains takes 2 ms."""
+ORDER_TIMEOUT_SECONDS = 0.6
+"""Timeout of an order, in seconds; a round trip between failure domains takes 2 ms."""
 
-CONNECT_TIMEOUT = 0.35
-"""Seconds that a connection for it may take."""
+CONNECT_TIMEOUT_SECONDS = 0.35
+"""Timeout of opening a connection for an order, in seconds."""
 
 JSON_HEADERS: Headers = (("content-type", "application/json"),)
 
 
 class WireReserve(msgspec.Struct, frozen=True, kw_only=True):
-    """Sets memory aside, or renews what was, without waiting for it."""
+    """Reserves memory or renews a reservation, without waiting for memory to become free."""
 
     operation: str = msgspec.field(name="Operation", default="reserve")
     ticket: str = msgspec.field(name="Id")
@@ -35,45 +35,50 @@
 
 
 class WireRelease(msgspec.Struct, frozen=True, kw_only=True):
-    """Frees what was set aside."""
+    """Releases reserved memory."""
 
     operation: str = msgspec.field(name="Operation", default="release")
     ticket: str = msgspec.field(name="Id")
 
 
 class HttpReservations:
-    """The `azureswitch.gateway.Reservations` over HTTP.
+    """Implements `azureswitch.gateway.Reservations` over HTTP.
 
-    Its failures name an engine by its address.
+    Its errors identify an engine by its address.
 
     Args:
-        on_answer: Takes the address of an engine, the ticket and the head of each answer, in which the
-            engine also speaks of itself.
+        on_answer: Called with the engine's address, the ticket and the head of each response; its
+            headers may also report the state of the engine.
     """
 
     def __init__(self, *, on_answer: Callable[[str, str, HttpHead], None]) -> None:
         self._on_answer = on_answer
 
     async def reserve(self, *, address: str, ticket: str, tokens: int, seconds: float) -> None:
-        """Set memory aside."""
+        """Reserve memory for a number of seconds.
+
+        Raises:
+            TargetRefusedError: The engine refused, or the order was not sent.
+            TargetBrokenError: The connection failed after the order was sent.
+        """
         body = WireReserve(ticket=ticket, tokens=tokens, milliseconds=int(seconds * 1_000.0))
         status = await self._order(address, ticket, msgspec.json.encode(body))
         if status != HTTPStatus.OK:
             raise TargetRefusedError(target=address)
 
     async def release(self, *, address: str, ticket: str) -> None:
-        """Free what was set aside."""
+        """Release reserved memory."""
         await self._order(address, ticket, msgspec.json.encode(WireRelease(ticket=ticket)))
 
     async def _order(self, address: str, ticket: str, body: bytes) -> int:
-        client = HttpClient(address=address, connect_timeout=CONNECT_TIMEOUT, pool_limit=0)
+        client = HttpClient(address=address, connect_timeout=CONNECT_TIMEOUT_SECONDS, pool_limit=0)
         try:
             answer = await client.request(
                 method="POST",
                 path=ORDER_PATH,
                 headers=JSON_HEADERS,
                 body=body,
-                timeout=ORDER_TIMEOUT,
+                timeout=ORDER_TIMEOUT_SECONDS,
                 fresh=True,
             )
         except HttpNotSentError as error:
--- a/src/azureswitch/platform/_program.py
+++ b/src/azureswitch/platform/_program.py
@@ -27,27 +27,30 @@
 
 EXIT_OK = 0
 EXIT_START = 1
-"""An address could not be used."""
+"""An address could not be bound."""
 EXIT_SETTINGS = 2
-"""The settings were refused."""
+"""The settings are invalid."""
 
-REREAD_SECONDS = 2.0
-"""Seconds after which the settings file is read again without a signal."""
+RELOAD_SECONDS = 2.0
+"""Seconds between reloads of the settings file without a signal."""
 
 SIGNALS = (SIGTERM, SIGINT, SIGHUP)
-"""Signals that tell the process to stop, or of new settings."""
+"""Signals that request a stop or a reload of the settings."""
 
 NOT_TOLD: Mapping[int, float] = MappingProxyType({})
 
 _left: list[asyncio.Task[object]] = []
-"""Tasks that had not ended with the program; collected, they would run on with no event loop."""
+"""Tasks that did not end with the program.
+
+They are kept referenced: on collection their cleanup code would run without an event loop.
+"""
 
 
 def run(*, callers: socket | None = None, told: Mapping[int, float] = NOT_TOLD) -> NoReturn:
-    """Run an edge process, and end it by the code that `main` returns.
+    """Run an edge process, and exit with the code that `main` returns.
 
-    The interpreter is not taken down: on a busy host that takes longer than what is left, after the
-    last answer, until the platform kills the process.
+    The interpreter is not finalized.  On a busy host, finalization takes longer than the time
+    between the last response and the platform's SIGKILL.
 
     Args:
         callers: As in `main`.
@@ -58,7 +61,7 @@
         sys.stdout.flush()
         sys.stderr.flush()
     finally:
-        # Also where nobody reads them any more, which cannot be told anybody.
+        # Also exits if the streams are closed, which cannot be reported anywhere.
         os._exit(code)
 
 
@@ -66,12 +69,12 @@
     """Run an edge process until SIGTERM or SIGINT.
 
     Args:
-        callers: A socket that listens for callers already, or None to open the one of the settings.
-        told: When signals came that were noted before this, in seconds of `azureswitch.clock`, by
-            their numbers.  It may grow until the program handles signals itself.
+        callers: A socket that already listens for callers, or None to open the configured address.
+        told: When signals arrived before this call, in seconds of `azureswitch.clock`, by signal
+            number.  Signals may be added until the program installs its own handlers.
 
     Returns:
-        0 after a graceful stop, 1 where an address cannot be used, 2 where the settings are wrong.
+        0 after a graceful stop, 1 if an address cannot be used, 2 if the settings are invalid.
     """
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     try:
@@ -80,7 +83,7 @@
         logging.error("edge: %s", error)
         return EXIT_SETTINGS
     lines = start_logs(host=settings.host)
-    # What is loaded stays, and full collections that look through it hold up the event loop.
+    # Loaded modules are permanent; scanning them in full collections would block the event loop.
     gc.freeze()
     gc.enable()
     try:
@@ -94,10 +97,10 @@
 
 
 def run_to_end(work: Coroutine[object, object, None]) -> None:
-    """Run the program, and leave behind what does not end with it.
+    """Run the program, and abandon the tasks that do not end with it.
 
-    `asyncio.run` waits for every task without a bound, and one that goes on though it was cancelled
-    would keep the host past its time of grace.
+    `asyncio.run` waits for every task without a timeout.  A task that ignores its cancellation
+    would keep the process running past its grace period.
     """
     loop = ElapsedEventLoop()
     try:
@@ -120,37 +123,37 @@
     stop = StopRequest()
     changed = asyncio.Event()
     for number in (SIGTERM, SIGINT):
-        loop.add_signal_handler(number, stop.tell)
+        loop.add_signal_handler(number, stop.request_stop)
     loop.add_signal_handler(SIGHUP, changed.set)
-    # Looked at only now, when no further signal can be noted there.
+    # Read only now, because no more signals are recorded there once the handlers are installed.
     earlier = [noted[number] for number in (SIGTERM, SIGINT) if number in noted]
     if earlier:
-        stop.tell(at=min(earlier))
+        stop.request_stop(at=min(earlier))
     if SIGHUP in noted:
         changed.set()
     seed = xxh3_64_intdigest(settings.host.encode()) & 0xFFFF
     edge = Edge(settings=settings, log=Log(), lines=lines, seed=seed)
-    beside = (
+    background = (
         loop.create_task(_reread(path, settings, changed, edge)),
         loop.create_task(stop.watch()),
     )
     try:
         await edge.serve(stop, callers=callers)
     finally:
-        for task in beside:
+        for task in background:
             task.cancel()
-        # The handlers go with the event loop; a signal after that would end the process by itself,
-        # with the code of a crash.
+        # The handlers are removed with the event loop; a later signal would kill the process, with
+        # the exit code of a crash.
         pthread_sigmask(SIG_BLOCK, SIGNALS)
 
 
 async def _reread(
     path: Path, settings: PlatformSettings, changed: asyncio.Event, edge: Edge
 ) -> None:
-    """Read the settings file again upon a signal, and from time to time without one."""
+    """Reload the settings file on a signal, and periodically without one."""
     while True:
         try:
-            async with asyncio.timeout(REREAD_SECONDS):
+            async with asyncio.timeout(RELOAD_SECONDS):
                 await changed.wait()
         except TimeoutError:
             pass
@@ -163,4 +166,4 @@
         if found != settings:
             settings = found
             logging.info("edge: The settings have changed and were read again.")
-            edge.reread(found)
+            edge.reload(found)
--- a/src/azureswitch/platform/_quarantine.py
+++ b/src/azureswitch/platform/_quarantine.py
@@ -1,8 +1,8 @@
-"""The requests that crash targets, kept in the platform's store for when all hosts have died.
+"""Persists quarantined requests, which crash targets, in the platform's store.
 
-Hosts that live tell each other of them.  One that starts reads what the store holds, at once and
-again a little later, as such a reading may be seconds old.  Another program may write there too: an
-entry that tells of no request is passed over.
+Live hosts exchange quarantined requests among themselves; the store preserves them if all hosts die
+at once.  A host reads the store when it starts, and once more a little later, because a read may
+return data that is seconds old.  Other programs may write there too; invalid entries are skipped.
 """
 
 from asyncio import Event, sleep
@@ -23,34 +23,34 @@
 from azureswitch.tasks import Tasks
 
 QUARANTINE_KIND = "azureswitch-quarantine"
-"""Our own kind of object."""
+"""The kind of object that holds quarantined requests."""
 
-SECOND_READING = 6.0
-"""Seconds between the two readings at a start; the first one may be some seconds old."""
+SECOND_READ_SECONDS = 6.0
+"""Seconds between the two reads at a start; the first may return data some seconds old."""
 
-PAUSE_FIRST = 0.25
-"""Seconds before a call to the store that failed is made again, at first."""
+MIN_BACKOFF_SECONDS = 0.25
+"""Seconds before the first retry of a failed call to the store."""
 
-PAUSE_MOST = 5.0
-"""The same after many failures."""
+MAX_BACKOFF_SECONDS = 5.0
+"""Upper bound of the backoff between retries, in seconds."""
 
-SAME_SECONDS = 60.0
-"""Seconds within which hosts that saw the same crashes need not each write them."""
+DUPLICATE_SECONDS = 60.0
+"""Seconds within which an entry of another host for the same crashes is not rewritten."""
 
 NAME_DIGITS = 32
-"""Digits of a digest that name an object."""
+"""Hexadecimal digits of a digest in the name of an object."""
 
 
-class KeptCrashes(msgspec.Struct, frozen=True, kw_only=True):
-    """A request under which targets crashed.
+class StoredCrashes(msgspec.Struct, frozen=True, kw_only=True):
+    """A quarantined request, as the store holds it.
 
     Attributes:
-        customer: Whose it is.
-        fingerprint: Tells it from other requests.
-        crashes: Starts of targets, as their names and the milliseconds of their wall clocks.
-        at: When it last broke off, in milliseconds of a host's wall clock.
-        before: How many milliseconds before that each of the crashes was; hosts of an older version
-            leave it out.
+        customer: The customer that sent it.
+        fingerprint: Identifies the request.
+        crashes: The target processes that crashed, as the target's name and its start time in
+            milliseconds of its wall clock.
+        at: Time of the last crash, in milliseconds of a host's wall clock.
+        before: Milliseconds between each crash and the last one; hosts of an older version omit it.
     """
 
     customer: CustomerName
@@ -61,12 +61,12 @@
 
 
 class StoreQuarantine:
-    """Keeps the requests that are held back, and reads them as a host starts.
+    """Writes quarantined requests to the store, and reads them when a host starts.
 
     Args:
         store: The platform's store.
-        recalled: Takes what the store holds.
-        foreign: Takes the entries that tell of no request.
+        recalled: Called with the reports that the store holds.
+        foreign: Records the invalid entries.
         clock: Returns seconds of the wall clock.
     """
 
@@ -83,12 +83,12 @@
         self._foreign = foreign
         self._clock = clock
         self._read = Event()
-        self._written: dict[str, KeptCrashes] = {}
+        self._written: dict[str, StoredCrashes] = {}
         self._tasks = Tasks(prefix="quarantine")
 
     def keep(self, report: CrashReport) -> None:
-        """Write a request that is held back to the store, as soon as that answers."""
-        kept = KeptCrashes(
+        """Write a quarantined request to the store in the background, with retries."""
+        kept = StoredCrashes(
             customer=report.customer,
             fingerprint=report.fingerprint,
             crashes=tuple((start.target, start.started) for start in report.crashes),
@@ -99,14 +99,14 @@
         self._spawn(kept)
 
     def remove(self, report: CrashReport) -> None:
-        """Remove a request from the store that is held back no more."""
+        """Remove a request from the store that is no longer quarantined."""
         name = _name(customer=report.customer, fingerprint=report.fingerprint)
         self._written.pop(name, None)
-        work = _until_answered(lambda: self._remove(name))
+        work = _retry(lambda: self._remove(name))
         self._tasks.spawn(work, name=f"remove {report.fingerprint}")
 
     def write_again(self) -> None:
-        """Write all again, as the store came back from an older copy, which may lack some."""
+        """Write all entries again, because a restored store may lack some."""
         for kept in self._written.values():
             self._spawn(kept)
 
@@ -115,30 +115,30 @@
         await self._read.wait()
 
     async def run(self) -> None:
-        """Read what the store holds, and once more after a while."""
+        """Read the quarantined requests twice, and then run until cancelled."""
         await self._recall()
-        await sleep(SECOND_READING)
+        await sleep(SECOND_READ_SECONDS)
         await self._recall()
-        # The others tell of what follows.
+        # Later changes arrive from the other hosts.
         await Event().wait()
 
     async def stop(self, *, timeout: float) -> None:
-        """Leave off what is being written, and wait for that for some seconds."""
+        """Cancel writes in progress, and wait at most ``timeout`` seconds for them to end."""
         await self._tasks.stop(timeout=timeout)
 
-    def _spawn(self, kept: KeptCrashes) -> None:
+    def _spawn(self, kept: StoredCrashes) -> None:
         self._tasks.spawn(self._keep(kept), name=f"keep {kept.fingerprint}")
 
     async def _recall(self) -> None:
-        await _until_answered(self._read_all)
+        await _retry(self._read_all)
 
     async def _read_all(self) -> None:
         listing = await self._store.list(kind=QUARANTINE_KIND, stale=True)
         entries = [(item, _kept(item)) for item in listing.items]
-        self._foreign.see(
+        self._foreign.set_entries(
             QUARANTINE_KIND, (kept for _, kept in entries if isinstance(kept, Foreign))
         )
-        known = [(item, kept) for item, kept in entries if isinstance(kept, KeptCrashes)]
+        known = [(item, kept) for item, kept in entries if isinstance(kept, StoredCrashes)]
         self._recalled(tuple(self._report(kept) for _, kept in known))
         self._written = {
             name: kept
@@ -150,13 +150,13 @@
             if self._age(kept) >= QUARANTINE_SECONDS:
                 await self._delete(item)
 
-    async def _keep(self, kept: KeptCrashes) -> None:
+    async def _keep(self, kept: StoredCrashes) -> None:
         name = _name(customer=kept.customer, fingerprint=kept.fingerprint)
-        await _until_answered(lambda: self._write(name, kept))
+        await _retry(lambda: self._write(name, kept))
 
-    async def _write(self, name: str, kept: KeptCrashes) -> None:
+    async def _write(self, name: str, kept: StoredCrashes) -> None:
         if self._written.get(name) is not kept:
-            # It was removed or written anew since.
+            # It was removed or replaced in the meantime.
             return
         value = msgspec.json.encode(kept)
         try:
@@ -166,7 +166,7 @@
             pass
         known = await self._store.get(kind=QUARANTINE_KIND, name=name, strict=False)
         written = _kept(known)
-        if isinstance(written, KeptCrashes) and _says_as_much(written, kept):
+        if isinstance(written, StoredCrashes) and _covers(written, kept):
             return
         await self._store.update(
             kind=QUARANTINE_KIND, name=name, value=value, version=known.version
@@ -180,15 +180,18 @@
             return
 
     async def _delete(self, item: StoredObject) -> None:
-        """Remove an entry that is over; another host may have done so."""
+        """Remove an expired entry, which another host may have removed already."""
         try:
             await self._store.delete(kind=QUARANTINE_KIND, name=item.name, version=item.version)
         except StoreNotFoundError:
             return
         except StoreError as error:
-            logging.info("quarantine: An entry that is over stays until the next start: %s", error)
+            logging.info(
+                "quarantine: An expired entry could not be removed: %s",
+                error,
+            )
 
-    def _report(self, kept: KeptCrashes) -> CrashReport:
+    def _report(self, kept: StoredCrashes) -> CrashReport:
         return CrashReport(
             customer=kept.customer,
             fingerprint=kept.fingerprint,
@@ -197,38 +200,38 @@
             ages=tuple(self._age(kept) + before / 1_000 for before in kept.before),
         )
 
-    def _age(self, kept: KeptCrashes) -> float:
+    def _age(self, kept: StoredCrashes) -> float:
         return max(0.0, self._clock() - kept.at / 1_000)
 
 
-async def _until_answered(call: Callable[[], Awaitable[None]]) -> None:
-    """Call the store again while it fails, after longer and longer pauses."""
-    pause = PAUSE_FIRST
+async def _retry(call: Callable[[], Awaitable[None]]) -> None:
+    """Retry a call to the store with exponential backoff until it succeeds."""
+    backoff = MIN_BACKOFF_SECONDS
     while True:
         try:
             await call()
             return
         except StoreError as error:
-            if pause == PAUSE_FIRST:
+            if backoff == MIN_BACKOFF_SECONDS:
                 logging.warning("quarantine: The store does not answer: %s", error)
-        await sleep(pause)
-        pause = min(PAUSE_MOST, 2.0 * pause)
+        await sleep(backoff)
+        backoff = min(MAX_BACKOFF_SECONDS, 2.0 * backoff)
 
 
-def _says_as_much(written: KeptCrashes, kept: KeptCrashes) -> bool:
-    """Return whether what another host wrote need not be replaced."""
-    late = written.at < kept.at - SAME_SECONDS * 1_000
+def _covers(written: StoredCrashes, kept: StoredCrashes) -> bool:
+    """Return whether the entry in the store is recent and complete enough to be kept."""
+    late = written.at < kept.at - DUPLICATE_SECONDS * 1_000
     return not late and len(written.crashes) >= len(kept.crashes)
 
 
 def _name(*, customer: CustomerName, fingerprint: str) -> str:
-    """Return the name of an object; customers' names may hold what names of objects may not."""
+    """Return the name of an object: a digest, as customers' names may hold invalid characters."""
     digest = sha256(f"{customer}\n{fingerprint}".encode())
     return digest.hexdigest()[:NAME_DIGITS]
 
 
-def _kept(item: StoredObject) -> KeptCrashes | Foreign:
+def _kept(item: StoredObject) -> StoredCrashes | Foreign:
     try:
-        return msgspec.json.decode(item.value, type=KeptCrashes)
+        return msgspec.json.decode(item.value, type=StoredCrashes)
     except UNDECODED as error:
         return undecoded(error, name=item.name, version=item.version)
--- a/src/azureswitch/platform/_roster.py
+++ b/src/azureswitch/platform/_roster.py
@@ -1,10 +1,11 @@
-"""The list of the system's own hosts, kept in the platform's store.
+"""Keeps the list of this system's hosts in the platform's store.
 
-The platform lists no hosts for us.  Each writes where it is reached under its name when it starts,
-and reads who else did.  A reading may be seconds old, which costs a tenth: membership finds out by
-itself who of the listed lives, and hears from them of those that the list does not show yet.
+The platform does not provide a list of hosts.  Each host registers its address under its name when
+it starts, and reads the entries of the others.  Stale reads, which cost a tenth, are sufficient:
+membership detects which of the listed hosts are alive, and learns from them of hosts that are not
+listed yet.
 
-Another program may write there too: an entry that tells of no host is passed over.
+Other programs may write there too; invalid entries are skipped.
 """
 
 import msgspec
@@ -23,11 +24,11 @@
 from azureswitch.ports import HostStatus, ListedHost, StoredObject
 
 ROSTER_KIND = "azureswitch-hosts"
-"""Our own kind of object."""
+"""The kind of object that holds a host's address."""
 
 
-class Seat(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a host is reached.
+class HostEntry(msgspec.Struct, frozen=True, kw_only=True):
+    """A host's entry in the list.
 
     Attributes:
         place: Its failure domain.
@@ -39,47 +40,53 @@
 
 
 class StoreHostList:
-    """The `azureswitch.ports.HostList` that the hosts keep themselves.
+    """Implements `azureswitch.ports.HostList` by entries that the hosts register themselves.
 
     Args:
         store: The platform's store.
         host: The name of this host.
-        seat: Where it is reached.
-        foreign: Takes the entries that tell of no host.
+        entry: The entry of this host.
+        foreign: Records the invalid entries.
     """
 
     def __init__(
-        self, *, store: HttpStore, host: HostName, seat: Seat, foreign: ForeignTracker
+        self, *, store: HttpStore, host: HostName, entry: HostEntry, foreign: ForeignTracker
     ) -> None:
         self._store = store
         self._host = host
-        self._seat = seat
+        self._entry = entry
         self._foreign = foreign
-        self._entered: int | None = None
+        self._registered_era: int | None = None
 
     async def hosts(self) -> tuple[ListedHost, ...]:
-        """Return the hosts that have entered themselves, after this one has."""
+        """Register this host if necessary, and return all registered hosts.
+
+        Raises:
+            HostListError: A call to the store failed.
+        """
         try:
-            if self._entered != self._store.era:
-                # A store that came back from an older copy may have lost the entry.
-                await self._enter()
-                self._entered = self._store.era
+            if self._registered_era != self._store.era:
+                # A store restored from a backup may have lost the entry.
+                await self._register()
+                self._registered_era = self._store.era
             listing = await self._store.list(kind=ROSTER_KIND, stale=True)
         except StoreError as error:
             raise HostListError() from error
         found = [_listed(item) for item in listing.items]
-        self._foreign.see(ROSTER_KIND, (host for host in found if isinstance(host, Foreign)))
+        self._foreign.set_entries(
+            ROSTER_KIND, (host for host in found if isinstance(host, Foreign))
+        )
         return tuple(host for host in found if isinstance(host, ListedHost))
 
-    async def _enter(self) -> None:
-        value = msgspec.json.encode(self._seat)
+    async def _register(self) -> None:
+        value = msgspec.json.encode(self._entry)
         try:
             await self._store.create(kind=ROSTER_KIND, name=self._host, value=value)
         except StoreConflictError:
             await self._replace(value)
 
     async def _replace(self, value: bytes) -> None:
-        """Correct the entry of an earlier process of this host."""
+        """Replace the entry of an earlier process of this host if it differs."""
         try:
             known = await self._store.get(kind=ROSTER_KIND, name=self._host, strict=False)
         except StoreNotFoundError:
@@ -93,17 +100,17 @@
 
 def _listed(item: StoredObject) -> ListedHost | Foreign:
     try:
-        seat = msgspec.json.decode(item.value, type=Seat)
+        entry = msgspec.json.decode(item.value, type=HostEntry)
     except UNDECODED as error:
         return undecoded(error, name=item.name, version=item.version)
     fault: Fault | None = None
-    if not is_address(seat.address):
+    if not is_address(entry.address):
         fault = Fault.ADDRESS
-    elif not seat.place:
+    elif not entry.place:
         fault = Fault.PLACE
     if fault is not None:
-        detail = f"{seat.address!r} in {seat.place!r} is no host"
+        detail = f"{entry.address!r} in {entry.place!r} is not a valid host"
         return Foreign(name=item.name, version=item.version, fault=fault, detail=detail)
     return ListedHost(
-        name=HostName(item.name), place=seat.place, address=seat.address, status=HostStatus.LIVE
+        name=HostName(item.name), place=entry.place, address=entry.address, status=HostStatus.LIVE
     )
--- a/src/azureswitch/platform/_settings.py
+++ b/src/azureswitch/platform/_settings.py
@@ -16,11 +16,12 @@
 
 
 class Addresses(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a process listens.
+    """The addresses on which a process listens.
 
     Attributes:
         callers: ``IP:PORT`` for callers.
-        readiness: ``IP:PORT`` on which the platform asks whether the process takes connections.
+        readiness: ``IP:PORT`` of the readiness check, by which the platform finds out whether the
+            process accepts connections.
     """
 
     callers: str = msgspec.field(name="Front")
@@ -28,14 +29,14 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """The figures of the users' rules that this system's own limits follow from.
+    """Bounds set by the users' rules, from which this system derives its own limits.
 
     Attributes:
-        drain_milliseconds: After which a leaving target must get nothing new.
-        grace_seconds: Between SIGTERM and SIGKILL.
-        retry_ratio: Repeated sends permitted per request, over all hosts.
-        retry_slack: Repeated sends permitted beside that, over all hosts.
-        hold_milliseconds: For which engines set memory aside, at most.
+        drain_milliseconds: Time after which a leaving target must not receive new requests.
+        grace_seconds: Time between SIGTERM and SIGKILL.
+        retry_ratio: Retries permitted per request, over all hosts.
+        retry_slack: Retries permitted in addition to the ratio, over all hosts.
+        hold_milliseconds: Longest time for which engines reserve memory.
     """
 
     drain_milliseconds: float = msgspec.field(name="DrainMs", default=2_000.0)
@@ -46,23 +47,23 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the platform's store is."""
+    """The address of the platform's store."""
 
     address: str = msgspec.field(name="Address")
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The settings of a process; what is not named here is passed over.
+    """The settings of a process; unknown fields are ignored.
 
     Attributes:
         host: The name of the host.
         ip: Its IP address.
         place: Its failure domain.
         regions: The region of each failure domain.
-        peer_ports: The first and the last port that are free for the hosts' own messages.
-        addresses: Where it listens.
-        bounds: The figures of the users' rules.
-        store: Where the platform's store is.
+        peer_ports: The first and the last port available for messages between hosts.
+        addresses: The addresses on which the process listens.
+        bounds: The bounds set by the users' rules.
+        store: The address of the platform's store.
     """
 
     host: HostName = msgspec.field(name="NodeName")
@@ -81,10 +82,10 @@
 
 
 def read_settings(path: Path) -> PlatformSettings:
-    """Return the settings of a file.
+    """Read a settings file.
 
     Raises:
-        PlatformSettingsError: It cannot be read, or lacks what a process needs.
+        PlatformSettingsError: The file cannot be read, or a required field is missing or invalid.
     """
     try:
         values: Mapping[str, Any] = tomllib.loads(path.read_text(encoding="utf-8"))
--- a/src/azureswitch/platform/_signals.py
+++ b/src/azureswitch/platform/_signals.py
@@ -1,23 +1,23 @@
-"""Since when the process is told to stop."""
+"""Records the time at which the process was requested to stop."""
 
 import asyncio
 from collections.abc import Callable
 
 from azureswitch.clock import elapsed, until_step
 
-LOOK_SECONDS = 0.1
-"""Seconds between two looks; 10 a second take under 0.1% of a core."""
+TICK_SECONDS = 0.1
+"""Seconds between ticks of the event loop check; 10 a second take under 0.1% of a core."""
 
-LATE_SECONDS = 0.05
-"""Seconds by which a look may be late; on a host with little to do they are within 2 ms."""
+MAX_TICK_DELAY_SECONDS = 0.05
+"""Seconds by which a tick may be late; on a mostly idle host, ticks are within 2 ms."""
 
 
 class StopRequest:
-    """The one order to stop, and the moment from which the time of grace counts.
+    """A request to stop, and the time from which the grace period counts.
 
-    A signal waits while the loop is held up and while the process is frozen, and the platform
-    counts from when it sent it.  So where the loop could not take a signal at once, the order
-    counts from the last moment at which it could.
+    The platform counts the grace period from when it sends the signal, but the signal is not
+    delivered while the event loop is blocked or the process is frozen.  If the loop could not
+    handle the signal at once, the grace period counts from the last time at which it could have.
 
     Args:
         clock: Returns seconds of the monotonic clock.
@@ -25,48 +25,48 @@
 
     def __init__(self, *, clock: Callable[[], float] = elapsed) -> None:
         self._clock = clock
-        self._looked = self._in_time = clock()
-        self._told: float | None = None
+        self._last_tick = self._last_timely_tick = clock()
+        self._requested_at: float | None = None
         self._event = asyncio.Event()
 
     async def wait(self) -> float:
-        """Wait for the order, and return since when it counts, in seconds of the clock."""
+        """Wait for the request, and return the start of the grace period on the clock."""
         await self._event.wait()
-        assert self._told is not None
-        return self._told
+        assert self._requested_at is not None
+        return self._requested_at
 
     async def watch(self) -> None:
-        """Look again and again, until cancelled."""
+        """Record ticks of the event loop until cancelled."""
         while True:
-            self.look()
-            await asyncio.sleep(until_step(LOOK_SECONDS))
+            self.tick()
+            await asyncio.sleep(until_step(TICK_SECONDS))
 
-    def look(self) -> None:
-        """Note that the loop runs now."""
+    def tick(self) -> None:
+        """Record that the event loop is running now."""
         now = self._clock()
         if not self._is_late(now):
-            self._in_time = now
-        self._looked = now
+            self._last_timely_tick = now
+        self._last_tick = now
 
-    def tell(self, *, at: float | None = None) -> None:
-        """Take the order; a second one changes nothing.
+    def request_stop(self, *, at: float | None = None) -> None:
+        """Request a stop; further requests have no effect.
 
         Args:
-            at: When it was given, where that was noted, as while the program was loaded.  Counted
-                from the start of the process, which was up to 2 s before the signal on a busy
-                machine, a stop broke off an answer that had 1.8 s left.
+            at: When the signal arrived, if that was recorded, as while the program was loading.
+                When the grace period was counted from the start of the process instead, up to 2 s
+                before the signal on a busy machine, a stop cut off a response with 1.8 s left.
         """
-        if self._told is not None:
+        if self._requested_at is not None:
             return
         if at is not None:
-            self._told = at
+            self._requested_at = at
             self._event.set()
             return
         now = self._clock()
-        # After a hold-up the loop may look once before it hands the signal over.
-        held_up = self._is_late(now) or self._in_time < self._looked
-        self._told = self._in_time if held_up else now
+        # After being blocked, the loop may run one tick before it delivers the signal.
+        blocked = self._is_late(now) or self._last_timely_tick < self._last_tick
+        self._requested_at = self._last_timely_tick if blocked else now
         self._event.set()
 
     def _is_late(self, now: float) -> bool:
-        return now - self._looked > LOOK_SECONDS + LATE_SECONDS
+        return now - self._last_tick > TICK_SECONDS + MAX_TICK_DELAY_SECONDS
--- a/src/azureswitch/platform/_store.py
+++ b/src/azureswitch/platform/_store.py
@@ -1,4 +1,4 @@
-"""The object store over HTTP and JSON."""
+"""Implements the object store over HTTP and JSON."""
 
 from asyncio import get_running_loop, sleep
 from collections.abc import AsyncIterator, Callable
@@ -51,64 +51,64 @@
 
 Restored = Callable[[int], None]
 
-DEFAULT_TIMEOUT = 2.0
-"""Seconds that a call may take."""
+DEFAULT_TIMEOUT_SECONDS = 2.0
+"""Timeout of a call, in seconds."""
 
-VALUE_LIMIT = 1_000_000
-"""Bytes that a value may have."""
+MAX_VALUE_BYTES = 1_000_000
+"""Maximum size of a value, in bytes."""
 
-WATCH_LIMIT = 30.0
-"""Seconds that one call may wait for changes, as the store permits."""
+MAX_WATCH_SECONDS = 30.0
+"""Longest time for which the store lets a call wait for changes, in seconds."""
 
-WATCH_LEAST = 0.03
-"""Seconds that must be left of a watch for another call; each is paid for."""
+MIN_WATCH_SECONDS = 0.03
+"""Remaining seconds of a watch below which no further call is made, as each call is paid for."""
 
-LOG_SECONDS = 60.0
-"""Seconds between two lines on the same thing that the store gives again and again."""
+LOG_INTERVAL_SECONDS = 60.0
+"""Minimum seconds between log lines on the same recurring fault of the store."""
 
 JSON_HEADERS: Headers = (("content-type", "application/json"),)
 
 
 def _ignore(method: str, kind: str, result: str) -> None:
-    """Count no calls."""
+    """Do nothing, by default, on a call."""
 
 
 def _log_restored(era: int) -> None:
-    """Log that the store has come back from an older copy."""
+    """Log that the store was restored from a backup."""
     logging.warning("store: The store came back from an older copy; its era is %d.", era)
 
 
 def _log_unnamed(kind: str, details: tuple[str, ...], whole: bool) -> None:
-    """Log that there are such entries, now and then."""
+    """Log the number of unnamed entries, at a limited rate."""
     if details:
         logging.log_every_n_seconds(
             logging.WARNING,
             "store: %d entries of %s have no name that can be read.",
-            LOG_SECONDS,
+            LOG_INTERVAL_SECONDS,
             len(details),
             kind,
         )
 
 
 class HttpStore:
-    """The `azureswitch.ports.Store` port over HTTP.
+    """Implements the `azureswitch.ports.Store` port over HTTP.
 
     Args:
         address: ``IP:PORT`` of the store.
-        timeout: Seconds that a call may take, a watch's waiting left out.
-        called: Told of each call by method, kind of object and result.
-        pause: Seconds between two calls of a watch that bring changes, so that changes which come
-            in a series cost fewer calls.
-        unnamed: Told of what is wrong with entries whose name or version cannot be read: their
-            kind, what is wrong with each, and whether these are all of the kind.
-        restored: Told the store's era each time that it has come back from an older copy.
+        timeout: Timeout of a call in seconds, not counting the time that a watch waits for changes.
+        called: Called after each call with its method, kind of object and result.
+        pause: Seconds between calls of a watch that return changes, so that a series of changes
+            takes fewer calls.
+        unnamed: Called with the faults of entries whose name or version cannot be read: their kind,
+            the fault of each, and whether these are all such entries of the kind.
+        restored: Called with the store's new era each time that it was restored from a backup.
     """
 
     def __init__(
         self,
         *,
         address: str,
-        timeout: float = DEFAULT_TIMEOUT,
+        timeout: float = DEFAULT_TIMEOUT_SECONDS,
         pause: float = 0.0,
         called: Called = _ignore,
         unnamed: Unnamed = _log_unnamed,
@@ -124,11 +124,11 @@
 
     @property
     def era(self) -> int:
-        """How often the store has come back from a copy, so far as is known."""
+        """Number of times that the store was restored from a backup, as far as known."""
         return self._era or 0
 
-    def move(self, *, address: str) -> None:
-        """Call the store at another ``IP:PORT`` from now on."""
+    def set_address(self, *, address: str) -> None:
+        """Use another ``IP:PORT`` for subsequent calls."""
         if address != self._client.address:
             self._client.close()
             self._client = HttpClient(address=address)
@@ -139,23 +139,25 @@
         Args:
             kind: Its kind.
             name: Its name.
-            strict: Whether an object that is not as ours are is taken for no answer.
+            strict: Whether an object that this system cannot have written raises an error.
         """
         key = f"{kind}/{name}"
         answer = await self._call(method="GET", path=_path(kind, name), key=key)
         if not strict:
-            return self._dated(_foreign_object(kind=kind, key=key, answer=answer))
-        return self._dated(_object(kind=kind, key=key, answer=answer, lost=StoreUnavailableError))
+            return self._with_era(_foreign_object(kind=kind, key=key, answer=answer))
+        return self._with_era(
+            _object(kind=kind, key=key, answer=answer, lost=StoreUnavailableError)
+        )
 
     async def list(self, *, kind: str, stale: bool = False) -> Listing:
         """Return all objects of a kind.
 
-        Pages are read one after the other.  The version to watch from is that of the first one, so
-        that a change made in between is seen again, and none is missed.
+        Pages are read sequentially.  The version to watch from is that of the first page, so that a
+        change made while reading may be seen twice, but none is missed.
 
         Args:
             kind: The kind.
-            stale: Whether what was true seconds ago is enough; such a call costs a tenth.
+            stale: Whether the result may be seconds old; such a call costs a tenth.
         """
         items: list[StoredObject] = []
         unnamed: list[str] = []
@@ -169,17 +171,17 @@
             version = page.version if version is None else version
             era = self.era if era is None else era
             if era != self.era:
-                # The pages before it are of a history that is gone.
+                # The earlier pages are from before the restore.
                 raise StoreUnavailableError(key=kind)
-            items.extend(map(self._dated, page.items))
+            items.extend(map(self._with_era, page.items))
             unnamed.extend(page.unnamed)
             if not page.more:
                 self._unnamed(kind, tuple(unnamed), True)
                 return Listing(items=tuple(items), version=version_of(era=era, revision=version))
             if not page.items:
-                # Without a name there is no going on, and what follows must not count as gone.
+                # The next page is requested by name; objects on it must not count as removed.
                 raise StoreUnavailableError(key=kind)
-            # The platform names the object to go on after as if it were a version.
+            # The platform calls the name after which the next page starts a revision.
             query["AfterRev"] = page.items[-1].name
 
     async def create(self, *, kind: str, name: str, value: bytes) -> StoredObject:
@@ -210,9 +212,9 @@
         """Yield the changes to a kind after ``version`` for at most ``timeout`` seconds."""
         loop = get_running_loop()
         end = loop.time() + timeout
-        while (left := end - loop.time()) > WATCH_LEAST:
-            wait = min(left, WATCH_LIMIT)
-            if self._is_over(version):
+        while (left := end - loop.time()) > MIN_WATCH_SECONDS:
+            wait = min(left, MAX_WATCH_SECONDS)
+            if self._is_stale(version):
                 raise StoreVersionGoneError(key=kind)
             query = {"Watch": revision_of(version), "WaitMs": int(wait * 1_000)}
             answer = await self._call(
@@ -221,14 +223,14 @@
                 key=kind,
                 timeout=wait + self._timeout,
             )
-            if self._is_over(version):
-                # It had this revision by another change.
+            if self._is_stale(version):
+                # After the restore, this revision belongs to another change.
                 raise StoreVersionGoneError(key=kind)
             page = _read(answer, read_changes, kind=kind)
             if page.unnamed:
                 self._unnamed(kind, page.unnamed, False)
             for change in page.changes:
-                item = self._dated(change.item)
+                item = self._with_era(change.item)
                 version = max(version, item.version)
                 yield replace(change, item=item)
             newest = version_of(era=self.era, revision=page.version)
@@ -242,26 +244,26 @@
         """Close idle connections."""
         self._client.close()
 
-    def _dated(self, item: StoredObject) -> StoredObject:
-        """Return an object of the last answer with its version."""
+    def _with_era(self, item: StoredObject) -> StoredObject:
+        """Return an object of the last response, with the era added to its version."""
         if not self.era:
             return item
         return replace(item, version=version_of(era=self.era, revision=item.version))
 
-    def _is_over(self, version: int) -> bool:
-        """Return whether the store has come back from a copy since it gave a version."""
+    def _is_stale(self, version: int) -> bool:
+        """Return whether the store was restored from a backup since it assigned a version."""
         return self._era is not None and bool(version) and era_of(version) != self._era
 
     def _check_condition(self, version: int, *, key: str) -> None:
-        """Refuse a condition that another object may meet by now under the same number."""
-        if self._is_over(version):
+        """Refuse a version from before a restore, which may since have been assigned again."""
+        if self._is_stale(version):
             raise StoreConflictError(key=key)
 
     def _note_era(self, head: HttpHead, *, lost: StoreError) -> None:
-        """Take over the era of an answer.
+        """Record the era of a response.
 
         Raises:
-            StoreError: It is an answer of a history that is gone; ``lost`` is raised.
+            StoreError: The response is from an older era; ``lost`` is raised.
         """
         told = head.header(name=STORE_ERA)
         if told is None:
@@ -269,7 +271,7 @@
         era = int(told) if told.isdecimal() else ERA_MOST + 1
         if era > ERA_MOST:
             logging.log_every_n_seconds(
-                logging.WARNING, "store: Its era %.64r is none.", LOG_SECONDS, told
+                logging.WARNING, "store: The era %.64r is invalid.", LOG_INTERVAL_SECONDS, told
             )
             return
         known, self._era = self._era, max(era, self.era)
@@ -282,13 +284,13 @@
         self, *, method: str, path: str, kind: str, name: str, value: bytes, version: int
     ) -> StoredObject:
         key = f"{kind}/{name}"
-        if len(value) > VALUE_LIMIT:
-            raise StoreValueTooLargeError(key=key, limit=VALUE_LIMIT)
+        if len(value) > MAX_VALUE_BYTES:
+            raise StoreValueTooLargeError(key=key, limit=MAX_VALUE_BYTES)
         self._check_condition(version, key=key)
         metadata = WireMetadata(name=name, version=revision_of(version))
         body = msgspec.json.encode(WireObject(metadata=metadata, content=pack_value(value)))
         answer = await self._call(method=method, path=path, key=key, body=body)
-        return self._dated(
+        return self._with_era(
             _object(kind=kind, key=key, answer=answer, lost=StoreOutcomeUnknownError)
         )
 
@@ -352,7 +354,7 @@
 
 
 def _failure(*, status: int, key: str, seconds: float | None, lost: type[StoreError]) -> StoreError:
-    """Return the failure of a status; what is not known to have done nothing is ``lost``."""
+    """Return the error for a status: ``lost`` if the call may have taken effect."""
     match status:
         case HTTPStatus.NOT_FOUND:
             return StoreNotFoundError(key=key)
@@ -361,7 +363,7 @@
         case HTTPStatus.GONE:
             return StoreVersionGoneError(key=key)
         case HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
-            return StoreValueTooLargeError(key=key, limit=VALUE_LIMIT)
+            return StoreValueTooLargeError(key=key, limit=MAX_VALUE_BYTES)
         case HTTPStatus.TOO_MANY_REQUESTS | HTTPStatus.SERVICE_UNAVAILABLE:
             return StoreUnavailableError(key=key, seconds=seconds)
         case _ if status < HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/src/azureswitch/platform/_targets.py
+++ b/src/azureswitch/platform/_targets.py
@@ -1,7 +1,7 @@
-"""The targets that the entries of the store name, and the entries that name none.
+"""Reads targets from the entries of the store, and reports the invalid entries.
 
-Another program may write such entries too.  Each is held against what a target says of itself, and
-one that differs in anything names no target to use.
+Other programs may write such entries too.  Each entry is validated against the fields with which a
+target registers, and an entry that fails validation is not used.
 """
 
 import re
@@ -19,21 +19,21 @@
 from azureswitch.ports import StoredObject
 from azureswitch.slices import GO_ON, Steps, finish
 
-STARTED_MOST = 2**63 - 1
-"""The latest start that can be told in a message between hosts."""
+MAX_STARTED = 2**63 - 1
+"""The latest start time that a message between hosts can hold."""
 
 ROLES = {"in_service": TargetRole.SERVING, "draining": TargetRole.DRAINING}
-"""What the platform calls the roles."""
+"""The roles by the platform's names for them."""
 
 _OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"
 _FIRST_OCTET = r"(?:22[0-3]|2[01][0-9]|1[0-9]{2}|[1-9][0-9]?)"
 _PORT = r"(?:6553[0-5]|655[0-2][0-9]|65[0-4][0-9]{2}|6[0-4][0-9]{3}|[1-5][0-9]{4}|[1-9][0-9]{0,3})"
 
 _ADDRESS = re.compile(rf"{_FIRST_OCTET}(?:\.{_OCTET}){{3}}:{_PORT}")
-"""``IP:PORT`` of a host: no names, no IPv6, and neither the unspecified nor multicast addresses."""
+"""``IP:PORT`` of a host: no host names, IPv6, unspecified or multicast addresses."""
 
 _NAME = re.compile(r"[!-~]{1,256}")
-"""Names that can travel in a header, in which a target is told whom a request is meant for."""
+"""Names that are valid in the header that tells a target for whom a request is meant."""
 
 
 class WireModel(msgspec.Struct, frozen=True, kw_only=True):
@@ -43,20 +43,20 @@
 
 
 class WireTarget(msgspec.Struct, frozen=True, kw_only=True):
-    """A target as it registers itself.
+    """The entry with which a target registers.
 
     Attributes:
         service: The service that it belongs to.
         address: ``IP:PORT`` of its HTTP interface.
         place: Its failure domain.
-        state: Whether it takes new work.
-        models: The models that it holds.
-        slots: Requests that it runs at once; the configuration says that too.
+        state: Whether it accepts new requests.
+        models: The models that it has loaded.
+        slots: Number of requests that it runs concurrently, which is also in the configuration.
         release: The version of its software.
-        cold: Milliseconds for which it will be slow after its start.
-        sequence: How often it has written.
-        started: When its process started, in milliseconds of the wall clock; alone of all fields it
-            is spelled in lower case.
+        cold: Remaining milliseconds for which it is slow after its start.
+        sequence: Number of times that it has written its entry.
+        started: When its process started, in milliseconds of the wall clock; unlike the
+            other fields, its name is in lower case.
     """
 
     service: ServiceName = msgspec.field(name="Service")
@@ -68,27 +68,27 @@
     release: Any = msgspec.field(name="Version", default=None)
     cold: Any = msgspec.field(name="ColdLeftMs", default=None)
     sequence: Any = msgspec.field(name="Sequence", default=None)
-    started: Annotated[int, msgspec.Meta(ge=0, le=STARTED_MOST)] | msgspec.UnsetType = (
-        msgspec.field(name="born", default=msgspec.UNSET)
+    started: Annotated[int, msgspec.Meta(ge=0, le=MAX_STARTED)] | msgspec.UnsetType = msgspec.field(
+        name="born", default=msgspec.UNSET
     )
 
 
-_TELLS: Mapping[str, Callable[[WireTarget], bool]] = {
+_HAS_FIELD: Mapping[str, Callable[[WireTarget], bool]] = {
     "Slots": lambda wire: type(wire.slots) is int,
     "Version": lambda wire: type(wire.release) is str,
     "ColdLeftMs": lambda wire: type(wire.cold) in (int, float),
     "Sequence": lambda wire: type(wire.sequence) is int,
     "born": lambda wire: wire.started is not msgspec.UNSET,
 }
-"""Fields that targets tell and that may be done without, and whether an entry does tell them."""
+"""The optional fields, each with a check of whether an entry has a valid value for it."""
 
 
 class Targets(Struct, frozen=True, kw_only=True):
-    """What a listing of targets holds.
+    """The result of reading a listing of targets.
 
     Attributes:
-        targets: Those to use.
-        foreign: The entries that name none.
+        targets: The targets to use.
+        foreign: The invalid entries.
     """
 
     targets: tuple[Target, ...]
@@ -98,10 +98,10 @@
 class TargetReader:
     """Reads the targets of a listing.
 
-    An entry is decoded once, as long as it does not change: of 600 mostly one does.
+    Decoded entries are cached until they change: usually one of 600 does at a time.
 
     Args:
-        places: The failure domains that there are; none where they are not known.
+        places: The known failure domains; empty if they are unknown, so that any is accepted.
     """
 
     def __init__(self, *, places: Iterable[Place] = ()) -> None:
@@ -109,12 +109,12 @@
         self._decoded: dict[str, tuple[StoredObject, WireTarget | Foreign]] = {}
 
     def read(self, items: Iterable[StoredObject], *, deployment: Deployment | None) -> Targets:
-        """Return the targets of a listing, and what names none.
+        """Return the targets of a listing, and its invalid entries.
 
         Args:
             items: The entries.
-            deployment: The configuration in force, which names the services; None where there is
-                none yet, so that no service is unknown.
+            deployment: The configuration in force, which defines the services; None if there is
+                none yet, so that any service is accepted.
         """
         return finish(self.read_steps(items, deployment=deployment))
 
@@ -136,11 +136,11 @@
                 found.append((item, wire))
             yield GO_ON
         self._decoded = decoded
-        missing = _missing(wire for _, wire in found)
+        missing = _expected_fields(wire for _, wire in found)
         targets: list[Target] = []
         for item, wire in found:
-            if names := [name for name in missing[wire.service] if not _TELLS[name](wire)]:
-                foreign.append(_silent(item, names))
+            if names := [name for name in missing[wire.service] if not _HAS_FIELD[name](wire)]:
+                foreign.append(_incomplete(item, names))
             else:
                 targets.append(_target(item, wire, paces or {}))
             yield GO_ON
@@ -161,15 +161,15 @@
 
     def _fault(self, name: str, wire: WireTarget) -> tuple[Fault, str] | None:
         if not _NAME.fullmatch(name):
-            return Fault.NAME, "the name cannot be told in a header"
+            return Fault.NAME, "the name is not valid in a header"
         if not is_address(wire.address):
             return Fault.ADDRESS, f"{wire.address!r} is not IP:PORT"
         if not wire.place or (self._places and wire.place not in self._places):
-            return Fault.PLACE, f"{wire.place!r} is no failure domain"
+            return Fault.PLACE, f"{wire.place!r} is not a known failure domain"
         if not wire.service:
             return Fault.SERVICE, "the service is empty"
         if wire.state not in ROLES:
-            return Fault.STATE, f"{wire.state!r} is no state"
+            return Fault.STATE, f"{wire.state!r} is not a known state"
         return None
 
     def _check(
@@ -178,48 +178,48 @@
         wire: WireTarget | Foreign,
         paces: Mapping[ServiceName, EnginePace | None] | None,
     ) -> WireTarget | Foreign:
-        """Return an entry, or that the configuration does not know its service."""
+        """Return an entry, or its fault if the configuration does not define its service."""
         if isinstance(wire, Foreign) or paces is None or wire.service in paces:
             return wire
         return Foreign(
             name=item.name,
             version=item.version,
             fault=Fault.SERVICE,
-            detail=f"{wire.service!r} is no service of the configuration",
+            detail=f"{wire.service!r} is not a service of the configuration",
         )
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is ``IP:PORT`` of a host that can be reached by IPv4."""
+    """Return whether a text is the ``IP:PORT`` of a host reachable by IPv4."""
     return _ADDRESS.fullmatch(text) is not None
 
 
 def _paces(deployment: Deployment) -> dict[ServiceName, EnginePace | None]:
-    """Return the services that a configuration names, in its list or in a route, and their pace."""
+    """Return the pace of each service that a configuration lists or uses in a route."""
     named = {share.service: None for route in deployment.routes for share in route.shares}
     return {**named, **{service.name: service.pace for service in deployment.services}}
 
 
-def _missing(wires: Iterable[WireTarget]) -> dict[ServiceName, tuple[str, ...]]:
-    """Return the fields that most entries of a service tell, but not all.
+def _expected_fields(wires: Iterable[WireTarget]) -> dict[ServiceName, tuple[str, ...]]:
+    """Return the optional fields that most, but not all, entries of a service have.
 
-    Some deployments' targets tell none of their start, so that a start which is missing says
-    nothing by itself; taken for a fault there, it would leave no target at all.  Where more than
-    half of a service's entries tell a field, one without it was written by something else.
+    In some deployments no target reports its start time, so a missing one is not a fault by itself;
+    treating it as one would leave no targets at all.  If more than half of a service's entries have
+    a field, an entry without it was written by another program.
     """
     of_service: dict[ServiceName, list[WireTarget]] = {}
     for wire in wires:
         of_service.setdefault(wire.service, []).append(wire)
-    return {service: _told_by_most(found) for service, found in of_service.items()}
+    return {service: _common_fields(found) for service, found in of_service.items()}
 
 
-def _told_by_most(wires: list[WireTarget]) -> tuple[str, ...]:
-    counts = {name: sum(map(tells, wires)) for name, tells in _TELLS.items()}
+def _common_fields(wires: list[WireTarget]) -> tuple[str, ...]:
+    counts = {name: sum(map(tells, wires)) for name, tells in _HAS_FIELD.items()}
     return tuple(name for name, count in counts.items() if len(wires) < 2 * count < 2 * len(wires))
 
 
-def _silent(item: StoredObject, names: list[str]) -> Foreign:
-    detail = f"it does not tell {', '.join(names)} as most do"
+def _incomplete(item: StoredObject, names: list[str]) -> Foreign:
+    detail = f"it lacks {', '.join(names)}, which most entries have"
     return Foreign(name=item.name, version=item.version, fault=Fault.FIELD, detail=detail)
 
 
--- a/src/azureswitch/platform/_wire.py
+++ b/src/azureswitch/platform/_wire.py
@@ -1,7 +1,7 @@
-"""The JSON of the platform's store and of the host list.
+"""The JSON schema of the platform's store and of the host list.
 
-The platform spells field names in its own way.  Each is decoded here, once; fields are named for
-what they hold, and a comment stands where the platform's name says something else.
+The platform's field names are translated only here.  Fields are named for what they hold, with a
+comment if the platform's name means something else.
 """
 
 from base64 import b64decode, b64encode
@@ -11,7 +11,7 @@
 from azureswitch.ports import ListedHost, StoredObject
 
 OBJECTS_PATH = "/api/objects"
-"""Path below which each kind of object is a collection."""
+"""Path prefix of the collections, one per kind of object."""
 
 HOSTS_PATH = "/hosts"
 """Path of the host list."""
@@ -31,8 +31,8 @@
 
     Attributes:
         metadata: Its name and version.
-        content: What its writer put there.
-        status: What others say of it.
+        content: The content written by its owner.
+        status: The status written by others.
     """
 
     metadata: WireMetadata = msgspec.field(name="Metadata")
@@ -62,10 +62,10 @@
 
 
 class WireChanges(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a watch.
+    """The response to a watch.
 
     Attributes:
-        changes: What has changed; alone of all fields it is spelled in lower case.
+        changes: The changed objects; unlike the other fields, its name is in lower case.
         version: The version to watch from next.
     """
 
@@ -81,19 +81,19 @@
 
 
 def to_wire(*, item: StoredObject) -> WireObject:
-    """Return the JSON shape of an object of our own, whose value travels in base64."""
+    """Return the JSON form of an object of this system, whose value is encoded in base64."""
     metadata = WireMetadata(name=item.name, version=item.version)
     return WireObject(metadata=metadata, content=pack_value(item.value))
 
 
 def from_wire(*, kind: str, item: WireObject) -> StoredObject:
-    """Return the object of a JSON shape.
+    """Return the object of a JSON form.
 
-    The value of an object of our own is the bytes that were put there; that of the platform's own
-    kinds is their JSON.
+    The value of an object of this system is decoded from base64; that of the platform's own kinds
+    is its JSON.
 
     Raises:
-        ValueError: The value is a text that is not base64.
+        ValueError: The value is a string that is not base64.
     """
     content = bytes(item.content)
     if content == NULL:
@@ -107,5 +107,5 @@
 
 
 def pack_value(value: bytes) -> msgspec.Raw:
-    """Return the JSON in which a value of our own travels."""
+    """Encode a value of this system as a JSON string in base64."""
     return msgspec.Raw(b'"' + b64encode(value) + b'"')
--- a/tests/platform/callers.py
+++ b/tests/platform/callers.py
@@ -1,4 +1,4 @@
-"""A caller of edge processes."""
+"""A client that calls edge processes."""
 
 from azureswitch.client import HttpAnswer, HttpClient
 from azureswitch.platform import header_names
@@ -14,7 +14,7 @@
     body: bytes = b"text",
     headers: tuple[tuple[str, str], ...] = (),
 ) -> HttpAnswer:
-    """Send a request of ann's and return its answer."""
+    """Send a request of customer ann and return the response."""
     client = HttpClient(address=callers)
     try:
         return await client.request(
--- a/tests/platform/foreign.py
+++ b/tests/platform/foreign.py
@@ -1,4 +1,4 @@
-"""Entries of the store as another program might have left them."""
+"""Invalid store entries, as another program might write them."""
 
 from typing import Any
 
@@ -19,23 +19,23 @@
     "Slots": 8,
     "Version": "1",
 }
-"""What a target says of itself."""
+"""The fields of a valid target entry."""
 
 USED = ("Service", "Address", "Zone", "State")
-"""Fields without which there is no sending to a target."""
+"""Fields that a target entry must have."""
 
 DEEP = b"[" * 2_000 + b"]" * 2_000
-"""JSON that is nested more deeply than a decoder follows."""
+"""JSON nested beyond the decoder's depth limit."""
 
 
 def spec(**changes: Any) -> bytes:
-    """Return what a target says of itself, changed; a field that becomes None is left out."""
+    """Return a target entry with some fields changed; fields set to None are left out."""
     fields = {name: value for name, value in {**GOOD, **changes}.items() if value is not None}
     return msgspec.json.encode(fields)
 
 
 def entry(content: bytes, *, name: bytes = b'"i-2"', version: bytes = REVISION) -> bytes:
-    """Return an entry in the platform's form."""
+    """Return an entry in the platform's JSON form."""
     metadata = b'{"Name":%s,"Revision":%s}' % (name, version)
     return b'{"Metadata":%s,"Spec":%s,"Status":null}' % (metadata, content)
 
@@ -68,7 +68,7 @@
     "list": (b'["i-2"]', False),
     "word": (b"nothing", False),
 }
-"""Whole entries that keep a page from being decoded at once, and whether name and version hold."""
+"""Entries that prevent decoding a page as a whole, and whether name and version are readable."""
 
 NO_TARGET: dict[str, tuple[bytes, Fault]] = {
     **{f"no {name}": (spec(**{name: None}), Fault.FIELD) for name in USED},
@@ -113,4 +113,4 @@
         for text in ("null", "true", "1.0", "1e3", '"1"', "[1]", "{}", "-1", "9" * 30)
     },
 }
-"""What an entry with name and version may hold that names no target, and what is wrong."""
+"""Contents of named entries that are not valid targets, and their faults."""
--- a/tests/platform/refusals.py
+++ b/tests/platform/refusals.py
@@ -1,4 +1,4 @@
-"""Calls that every store refuses where it holds ``a/x`` in its first version."""
+"""Calls that every store that holds ``a/x`` at its first version must refuse."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,7 +13,7 @@
 Call = Callable[[Store], Awaitable[object]]
 
 TOO_LARGE = 1_000_001
-"""Bytes of the smallest value that is over the limit."""
+"""Size of the smallest value over the limit, in bytes."""
 
 REFUSALS: list[tuple[Call, type[StoreError]]] = [
     (lambda s: s.get(kind="a", name="y"), StoreNotFoundError),
@@ -24,4 +24,4 @@
     (lambda s: s.delete(kind="a", name="x", version=9), StoreConflictError),
     (lambda s: s.delete(kind="a", name="y", version=1), StoreNotFoundError),
 ]
-"""Each call with the type of its refusal."""
+"""Each call with the error that it must raise."""
--- a/tests/platform/test_adoption.py
+++ b/tests/platform/test_adoption.py
@@ -1,4 +1,4 @@
-"""Configurations are built beside the one in force, in slices."""
+"""Configurations are built in slices while the previous one stays in force."""
 
 import asyncio
 from asyncio import run
@@ -21,13 +21,13 @@
 from tests.gateway.fixtures import PATIENCE, Bed, serve, usual_headers
 
 MANY = 20_000
-"""Routes that take dozens of slices on any machine."""
+"""Number of routes that takes dozens of slices on any machine."""
 
 FEW = 3
 
 
 def configuration(version: int, *, routes: int = FEW, value: bytes | None = None) -> StoredObject:
-    """Return a configuration of some routes, one of which is for the version alone."""
+    """Return a configuration with some routes."""
     body = {
         "Version": version,
         "Routes": [
@@ -49,14 +49,14 @@
 
 
 def shown(metrics: Metrics, name: str, *labels: str) -> float:
-    """Return the sum of a metric over the lines that have some labels."""
+    """Return the sum of a metric over the lines with the given labels."""
     lines = [line for line in metrics.text()[0].decode().splitlines() if not line.startswith("#")]
     found = [line for line in lines if name in line and all(label in line for label in labels)]
     return sum(float(line.rpartition(" ")[2]) for line in found)
 
 
 class World:
-    """A gateway, and what adopts for it.
+    """A gateway, and the `Adoption` that applies configurations to it.
 
     Args:
         gateway: The gateway.
@@ -94,11 +94,11 @@
 
     @property
     def unreadable(self) -> bool:
-        """Whether the configuration that the store holds is known not to be readable."""
+        """Whether the configuration in the store is reported as unreadable."""
         return shown(self.metrics, "foreign_entries", "unreadable", CONFIGURATION_KIND) > 0.0
 
     def take(self, *items: StoredObject) -> None:
-        """Tell of configurations, each as the store's only one."""
+        """Deliver configurations, each as the store's only one."""
         for item in items:
             self.adoption.configure((item,))
 
@@ -110,7 +110,7 @@
 
 
 def play(act: Callable[[World, Bed], object]) -> None:
-    """Let a coroutine function act on a gateway that has targets and no configuration."""
+    """Run a coroutine function on a gateway that has targets and no configuration."""
 
     async def scenario() -> None:
         async with serve(configure=lambda gateway: None) as bed:
@@ -126,7 +126,7 @@
     """`Adoption`."""
 
     def test_small(self) -> None:
-        """What fits into a slice is in force at once."""
+        """A configuration that fits into one slice is applied at once."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1))
@@ -135,7 +135,7 @@
         play(act)
 
     def test_large(self) -> None:
-        """Others have their turn while a large one is built, and the one in force stays."""
+        """Other tasks run while a large one is built, and the previous one stays in force."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1), configuration(2, routes=MANY))
@@ -149,7 +149,7 @@
         play(act)
 
     def test_newest_next(self) -> None:
-        """Of those that come while one is built only the newest is built, and none comes back."""
+        """Of those that arrive while one is built, only the newest is built next."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1, routes=MANY), *(configuration(n) for n in (2, 3, 4)))
@@ -161,7 +161,7 @@
     @pytest.mark.parametrize("routes", [FEW, MANY])
     @pytest.mark.parametrize("version", [4, 5])
     def test_never_back(self, version: int, routes: int) -> None:
-        """The same or an older one changes nothing."""
+        """A configuration with the same or an older version is ignored."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(5))
@@ -174,7 +174,7 @@
 
     @pytest.mark.parametrize("value", [b"{}", b"\xff", b'{"Version":"9"}'])
     def test_unreadable(self, value: bytes) -> None:
-        """One that cannot be read is told of, and the next one is built."""
+        """An unreadable configuration is reported, and the next one is built."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1, routes=MANY), configuration(2, value=value))
@@ -189,7 +189,7 @@
         play(act)
 
     def test_targets_meanwhile(self) -> None:
-        """Targets that are listed while one is built are those that it is put in force with."""
+        """A configuration is applied with the targets that were listed while it was built."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1), configuration(2, routes=MANY))
@@ -202,7 +202,7 @@
         play(act)
 
     def test_targets_read_meanwhile(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Targets that are listed after the others were read are those it is put in force with."""
+        """A target list that arrives while the previous one is read replaces it."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1))
@@ -225,7 +225,7 @@
         play(act)
 
     def test_fault(self, caplog: pytest.LogCaptureFixture, monkeypatch) -> None:
-        """A fault of ours is logged, and the next configuration is built all the same."""
+        """An internal error while building is logged, and the next configuration is built."""
 
         async def act(world: World, bed: Bed) -> None:
             def broken(deployment: object) -> Steps[None]:
@@ -244,7 +244,7 @@
         play(act)
 
     def test_connections(self) -> None:
-        """A connection lives on, and its requests are answered while a large one is built."""
+        """A connection stays open and is served while a large one is built and applied."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1))
@@ -263,7 +263,7 @@
         play(act)
 
     def test_stop(self) -> None:
-        """What is being built is left off when the process ends."""
+        """A build in progress is cancelled when the process stops."""
 
         async def act(world: World, bed: Bed) -> None:
             world.take(configuration(1, routes=MANY))
@@ -284,20 +284,20 @@
         return "result"
 
     def test_result(self) -> None:
-        """All is done at once where that is asked for."""
+        """`finish` runs all steps at once."""
         done: list[int] = []
         assert finish(self._count(done, pause_at=3, most=10)) == "result"
         assert done == list(range(10))
 
     def test_pause(self) -> None:
-        """Work that asks for a pause has one, and goes on from there."""
+        """Work that requests a pause is suspended, and later continues from there."""
         done: list[int] = []
         work = self._count(done, pause_at=3, most=10)
         assert (run_slice(work), len(done)) == (False, 4)
         assert (run_slice(work), len(done)) == (True, 10)
 
     def test_time(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Work that takes long is interrupted."""
+        """Work that exceeds the duration of a slice is suspended."""
         monkeypatch.setattr("azureswitch.slices.SLICE_SECONDS", 0.0)
         done: list[int] = []
         work = self._count(done, pause_at=-1, most=10)
--- a/tests/platform/test_edge.py
+++ b/tests/platform/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge program as a process before a store of the platform's form."""
+"""Runs the edge program as a process against a stand-in of the platform's store."""
 
 import asyncio
 import sys
@@ -25,12 +25,12 @@
 EDGE = Path(__file__).resolve().parents[2] / "deploy" / "edge.py"
 
 PATIENCE = 20.0
-"""Seconds that a test waits for what must happen, however busy the machine is."""
+"""Seconds that a test waits for an expected event, even on a busy machine."""
 
 PORTS = 23_400
 
 LOG = "edge.log"
-"""The file in a test's folder that takes what its process writes."""
+"""The file in a test's folder that captures the output of its process."""
 
 SLOW_LOAD_SECONDS = 3.0
 
@@ -45,7 +45,7 @@
 
 sys.meta_path.insert(0, Slow())
 """
-"""Read by an interpreter as it starts; loading the program takes it some seconds."""
+"""Executed at interpreter start; delays loading of the program by some seconds."""
 
 SLOW_END = """\
 import atexit
@@ -53,22 +53,22 @@
 
 atexit.register(time.sleep, 3600.0)
 """
-"""Read by an interpreter as it starts; it takes itself down for an hour."""
+"""Executed at interpreter start; makes finalization of the interpreter take an hour."""
 
 FOREIGN = (len(NO_TARGET) + any(named for _, named in UNREADABLE.values())) + sum(
     not named for _, named in UNREADABLE.values()
 )
-"""Foreign entries that the store holds; those of the same name count once."""
+"""Number of foreign entries in the store; entries of the same name count once."""
 
 NETWORK = f"127.{210 + getpid() % 40}.{getpid() // 40 % 250}"
-"""The first three numbers of IP addresses that no other run of the tests has."""
+"""The first three octets of IP addresses that no other test run uses."""
 
 
 @asynccontextmanager
 async def edge(
     tmp_path: Path, *, ip: str, store: str, name: str = "h1", **environment: str
 ) -> AsyncIterator[tuple[str, asyncio.subprocess.Process]]:
-    """Start an edge process and give the address for callers, on which it soon listens."""
+    """Start an edge process, and yield the address for callers and the process."""
     settings = tmp_path / "edge.toml"
     write_settings(settings, name=name, ip=ip, zone="z1", ports=PORTS, store=store)
     callers = f"{ip}:{PORTS}"
@@ -87,7 +87,7 @@
 
 
 async def listens(address: str) -> bool:
-    """Return whether connections are taken at an address."""
+    """Return whether an address accepts connections."""
     host, _, port = address.rpartition(":")
     try:
         _, writer = await asyncio.open_connection(host, int(port))
@@ -98,7 +98,7 @@
 
 
 async def until_listening(address: str) -> None:
-    """Wait until connections are taken."""
+    """Wait until an address accepts connections."""
     while not await listens(address):
         await asyncio.sleep(0.002)
 
@@ -117,7 +117,7 @@
 
 
 async def page(ip: str, path: str) -> HttpAnswer:
-    """Return a page for operators."""
+    """Return a page of the metrics and status server."""
     client = HttpClient(address=f"{ip}:{METRICS_PORT}")
     try:
         return await client.request(method="GET", path=path, timeout=PATIENCE)
@@ -126,7 +126,7 @@
 
 
 async def until_started(ip: str, started: int) -> None:
-    """Wait until the status tells a start of the one target."""
+    """Wait until the status shows a start time of the only target."""
     seen = None
     try:
         async with asyncio.timeout(PATIENCE):
@@ -152,7 +152,7 @@
 
 
 def target(**more: int) -> bytes:
-    """Return the entry of a target that nobody listens as."""
+    """Return the entry of a target at an address where nothing listens."""
     fields = {"Service": DESK, "Address": str(free_address()), "Zone": "z1", "State": "in_service"}
     return msgspec.json.encode({**fields, **more})
 
@@ -192,7 +192,7 @@
         ],
     )
     def test_first_caller(self, tmp_path: Path, ip: str, delay: float, code: str) -> None:
-        """Who connects while it loads is served by the first configuration, or soon refused."""
+        """A caller that connects during loading gets the first configuration or a quick refusal."""
 
         async def scenario() -> None:
             store = StoreStandin()
@@ -228,7 +228,7 @@
     def test_signal_while_loading(
         self, tmp_path: Path, ip: str, number: Signals, code: int | None
     ) -> None:
-        """A signal while it is loaded cuts off no caller; one to stop takes effect after that."""
+        """A signal during loading drops no caller; a stop takes effect after loading."""
 
         async def scenario() -> None:
             store = StoreStandin()
@@ -250,10 +250,10 @@
 
 
 class TestStatus:
-    """What an edge process tells operators."""
+    """The status page of an edge process."""
 
     def test_started(self, tmp_path: Path) -> None:
-        """A target that starts again is told with its later start, and not with an earlier one."""
+        """A restarted target is shown with its latest start time, never with an earlier one."""
 
         async def scenario() -> None:
             store = StoreStandin()
@@ -279,10 +279,10 @@
 
 
 class TestForeignEntries:
-    """Entries of the store that name no target to use."""
+    """Invalid entries in the store."""
 
     def test_start(self, tmp_path: Path) -> None:
-        """A host that starts learns of all other targets, and of changes beside them."""
+        """A starting host finds all valid targets, and follows changes, beside invalid entries."""
 
         async def scenario() -> None:
             store = StoreStandin()
@@ -311,7 +311,7 @@
         run(scenario)
 
     def test_configuration(self, tmp_path: Path) -> None:
-        """The configuration in force stays while the newest one cannot be read."""
+        """The configuration in force is kept while the newest one is unreadable."""
 
         async def scenario() -> None:
             store = StoreStandin()
@@ -339,7 +339,7 @@
     """How an edge process stops."""
 
     def test_told_again(self, tmp_path: Path) -> None:
-        """Told to stop again and again until it is gone, it stops gracefully all the same."""
+        """Repeated stop signals do not prevent a graceful stop."""
 
         async def scenario() -> None:
             store = StoreStandin()
@@ -361,7 +361,7 @@
         run(scenario)
 
     def test_slow_interpreter(self, tmp_path: Path) -> None:
-        """A host whose requests are all decided ends in its time of grace, and with all its log."""
+        """A process ends within its grace period with a complete log if finalization is slow."""
         (tmp_path / "sitecustomize.py").write_text(SLOW_END, encoding="utf-8")
 
         async def scenario() -> None:
@@ -383,7 +383,7 @@
         run(scenario)
 
     def test_told_while_loading(self, tmp_path: Path) -> None:
-        """The time of grace counts from the platform's order, not from the host's first look."""
+        """The grace period counts from the platform's signal, also during loading."""
         (tmp_path / "sitecustomize.py").write_text(SLOW_LOAD, encoding="utf-8")
 
         async def scenario() -> None:
--- a/tests/platform/test_end.py
+++ b/tests/platform/test_end.py
@@ -1,4 +1,4 @@
-"""A process ends with its work, whatever its tasks do."""
+"""A process ends with its main coroutine, even if some tasks do not end."""
 
 import asyncio
 import gc
@@ -17,7 +17,7 @@
 
 
 async def go_on() -> None:
-    """Go on whenever cancelled, as a loop does that loses a cancellation."""
+    """Ignore cancellation, as a loop does that swallows `CancelledError`."""
     while True:
         try:
             await asyncio.sleep(3_600.0)
@@ -26,10 +26,10 @@
 
 
 class TestEnd:
-    """What does not end is named and left behind."""
+    """Tasks that do not end are abandoned."""
 
-    def test_task_that_goes_on(self) -> None:
-        """A task that goes on though it was cancelled keeps no process."""
+    def test_task_that_ignores_cancellation(self) -> None:
+        """A task that ignores its cancellation does not keep the process running."""
         ended = []
 
         async def work() -> None:
@@ -43,7 +43,7 @@
         assert ended == ["willing"]
 
     def test_no_clean_up_on_a_closed_loop(self, caplog: pytest.LogCaptureFixture) -> None:
-        """What a task that is left behind would still do runs on no event loop that is closed."""
+        """Cleanup code of an abandoned task does not run after the event loop is closed."""
         cleaned: list[str] = []
 
         async def work() -> None:
@@ -58,17 +58,15 @@
 
 
 async def _slow_to_end(cleaned: list[str]) -> None:
-    """Take longer to end than a process does, and then some more."""
+    """Ignore cancellation, and record whether cleanup runs."""
     try:
         await go_on()
     finally:
         cleaned.append("slow")
 
 
-def test_what_is_loaded_is_no_part_of_collections(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Nothing of it is looked through again once the program serves, and what comes later is."""
+def test_loaded_objects_are_frozen(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Loaded objects are excluded from garbage collection, which stays enabled for later ones."""
     settings = tmp_path / "edge.toml"
     write_settings(
         settings, name="h1", ip="127.0.0.1", zone="z1", ports=23_400, store="127.0.0.1:1"
@@ -85,7 +83,7 @@
 
     monkeypatch.setattr(_program, "run_to_end", note)
     gc.unfreeze()
-    # As the program's first lines leave it, so that loading is not held up.
+    # The program starts with collection disabled, which would slow down loading.
     gc.disable()
     try:
         assert _program.main() == _program.EXIT_OK
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""What the store's reader makes of entries that others have left there."""
+"""Reading store entries that other programs wrote."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -19,7 +19,7 @@
 
 @asynccontextmanager
 async def serve(*, page: int = 500) -> AsyncIterator[tuple[StoreStandin, HttpStore]]:
-    """Serve a store that holds ``i-1`` and give the port to it."""
+    """Serve a store that holds ``i-1`` and yield it with a client."""
     standin = StoreStandin(page=page)
     await standin.start()
     store = HttpStore(address=standin.address, timeout=PATIENCE)
@@ -35,18 +35,18 @@
     ("foreign", "named"), [pytest.param(*row, id=name) for name, row in UNREADABLE.items()]
 )
 class TestUnreadable:
-    """Entries that do not fit the form of the store's objects."""
+    """Entries that do not match the schema of the store's objects."""
 
     @pytest.mark.parametrize("page", [500, 2, 1])
     def test_listing(self, foreign: bytes, named: bool, page: int) -> None:
-        """All others are listed; a page without a name to go on from is no whole listing."""
+        """All other entries are listed; a listing fails if a page has no name to continue after."""
 
         async def run() -> None:
             async with serve(page=page) as (standin, store):
                 standin.plant(kind=KIND, name="i-2", entry=foreign)
                 await store.create(kind=KIND, name="i-3", value=spec())
                 if page == 1 and not named:
-                    # The next page is asked for by a name, and this one has none.
+                    # The next page is requested by the last name, which is missing here.
                     with pytest.raises(StoreUnavailableError):
                         await store.list(kind=KIND)
                     return
@@ -59,7 +59,7 @@
         asyncio.run(run())
 
     def test_watch(self, foreign: bytes, named: bool) -> None:
-        """The watch goes on, and an entry with a name replaces what it was before."""
+        """The watch continues, and a named invalid entry replaces its previous state."""
 
         async def run() -> None:
             async with serve() as (standin, store):
@@ -82,7 +82,7 @@
 
 
 class TestEvents:
-    """`read_changes`: what a watch tells."""
+    """`read_changes`."""
 
     @pytest.mark.parametrize(
         ("event", "told"),
@@ -103,7 +103,7 @@
         ],
     )
     def test_told(self, event: bytes, told: tuple[str, str, int] | None) -> None:
-        """An event with a name replaces or removes; one without is counted; others are told."""
+        """A named event updates or removes an entry, an unnamed one is counted, others apply."""
         other = b'{"Object":%s}' % entry(spec(), name=b'"i-3"', version=b"5")
         page = read_changes(b'{"events":[%s,%s],"AsOf":9}' % (event, other), kind=KIND)
         found = [(c.kind.value, c.item.name, c.item.version) for c in page.changes]
@@ -111,13 +111,13 @@
         assert (len(page.unnamed), page.version) == (int(told is None), 9)
 
     def test_removed_unclear(self) -> None:
-        """An entry of which it cannot be said whether it was removed holds nothing to use."""
+        """An entry whose removal flag is invalid has no usable value."""
         event = b'{"Object":%s,"Removed":"no"}' % entry(spec(), version=b"4")
         (change,) = read_changes(b'{"events":[%s],"AsOf":9}' % event, kind=KIND).changes
         assert change.item.value == event
 
     def test_version(self) -> None:
-        """A watch goes on behind entries that it can make nothing of."""
+        """A watch continues past unreadable entries."""
 
         async def run() -> None:
             async with serve() as (standin, store):
@@ -141,6 +141,6 @@
     ],
 )
 def test_no_page(reader: Callable[..., Page | Changes], member: bytes, body: bytes) -> None:
-    """Bytes that are no page are refused, so that the call is made again."""
+    """Bytes that are not a page raise an error, so that the call is retried."""
     with pytest.raises(ValueError):
         reader(body.replace(b"Items", member), kind=KIND)
--- a/tests/platform/test_fakes.py
+++ b/tests/platform/test_fakes.py
@@ -1,4 +1,4 @@
-"""The store and host list stand-ins keep the rules of the ports."""
+"""The fakes of the store and the host list follow the contracts of the ports."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
     @pytest.mark.parametrize(("call", "error"), REFUSALS)
     def test_refuses(self, call: Call, error: type[StoreError]) -> None:
-        """A call that breaks a rule raises its type and changes nothing."""
+        """A call that violates a rule raises its error type and changes nothing."""
 
         async def run() -> None:
             store = StoreFake()
@@ -50,7 +50,7 @@
         ],
     )
     def test_faults(self, faults: StoreFaults, error: type[StoreError], written: bool) -> None:
-        """Each fault raises its type, and writes take effect only where it says so."""
+        """Each fault raises its error type, and writes take effect only as configured."""
 
         async def run() -> None:
             store = StoreFake()
@@ -63,7 +63,7 @@
         run_virtual(run())
 
     def test_watch(self) -> None:
-        """A watch yields changes of its kind alone, deletions too, and a bookmark at the end."""
+        """A watch yields changes of its kind only, including deletions, and a final bookmark."""
 
         async def run() -> None:
             store = StoreFake()
@@ -81,7 +81,7 @@
         run_virtual(run())
 
     def test_watch_gone(self) -> None:
-        """A version older than the history is gone."""
+        """A watch from a version older than the history is refused."""
 
         async def run() -> None:
             store = StoreFake(model=StoreModel(limits=StoreLimits(history=2)))
@@ -94,7 +94,7 @@
         run_virtual(run())
 
     def test_watch_breaks(self) -> None:
-        """An outage breaks watches of its own way to the store alone."""
+        """An outage breaks only the watches of its own client."""
 
         async def run() -> None:
             store = StoreFake()
@@ -111,7 +111,7 @@
         run_virtual(run())
 
     def test_rates(self) -> None:
-        """Writes over the rate are refused with a time to wait, and reads have their own rate."""
+        """Writes over the rate limit are refused with a retry delay; reads have their own limit."""
 
         async def run() -> None:
             store = StoreFake(model=StoreModel(limits=StoreLimits(writes=2.0)))
@@ -131,7 +131,7 @@
     """Unit tests of `HostListFake`."""
 
     def test_lags(self) -> None:
-        """A change is seen after the lag, and an outage raises its type."""
+        """A change is visible after the lag, and an outage raises its error type."""
 
         async def run() -> None:
             host = ListedHost(
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP adapters give the ports' failures exactly, against the stand-ins over loopback."""
+"""The HTTP adapters raise the ports' exact errors, tested with stand-ins over loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable
@@ -27,7 +27,7 @@
 async def serve(
     limits: StoreLimits | None = None,
 ) -> AsyncIterator[tuple[StoreStandin, HttpStore]]:
-    """Serve a store that holds ``a/x`` and give the port to it."""
+    """Serve a store that holds ``a/x`` and yield it with a client."""
     standin = StoreStandin(model=StoreModel(limits=limits))
     await standin.start()
     store = HttpStore(address=standin.address, timeout=PATIENCE)
@@ -64,7 +64,7 @@
     """Unit tests of `HttpStore`."""
 
     def test_objects(self) -> None:
-        """Values travel unchanged, and versions grow over all objects."""
+        """Values are preserved, and versions increase across all objects."""
 
         async def run() -> None:
             async with serve() as (_, store):
@@ -87,7 +87,7 @@
         [*REFUSALS, (lambda s: collect(s, version=0), StoreVersionGoneError)],
     )
     def test_refuses(self, call: Call, error: type[StoreError]) -> None:
-        """Each refusal of the store has its type."""
+        """Each refusal of the store raises its error type."""
 
         async def run() -> None:
             async with serve(StoreLimits(history=0)) as (_, store):
@@ -115,7 +115,7 @@
     def test_faults(
         self, faults: StoreFaults, call: Call, error: type[StoreError], written: bool
     ) -> None:
-        """A write is unavailable only where it certainly did nothing, else its outcome is open."""
+        """A write raises unavailable only if it had no effect; otherwise its outcome is unknown."""
 
         async def run() -> None:
             async with serve() as (standin, store):
@@ -123,7 +123,7 @@
                     address=standin.address, timeout=0.1 if faults.delay else PATIENCE
                 )
                 if faults.delay:
-                    # On an open connection a call is sent at once, however busy the machine is.
+                    # On an open connection a call is sent at once, even on a busy machine.
                     await get(hasty)
                 await standin.set_faults(faults=faults)
                 with pytest.raises(error):
@@ -139,7 +139,7 @@
         asyncio.run(run())
 
     def test_rates(self) -> None:
-        """A call over the rate did nothing and says when to come back."""
+        """A call over the rate limit has no effect and has a retry delay."""
 
         async def run() -> None:
             async with serve(StoreLimits(writes=1.0)) as (_, store):
@@ -150,7 +150,7 @@
         asyncio.run(run())
 
     def test_watch_left(self) -> None:
-        """A watch whose reader has gone no longer counts as waiting."""
+        """A cancelled watch no longer counts as waiting."""
 
         async def run() -> None:
             async with serve() as (standin, store):
@@ -164,7 +164,7 @@
         asyncio.run(run())
 
     def test_watch_breaks(self) -> None:
-        """An outage breaks a waiting watch, and one from the same version goes on after it."""
+        """An outage breaks a waiting watch; one from the same version continues after it."""
 
         async def run() -> None:
             async with serve() as (standin, store):
@@ -184,7 +184,7 @@
     """Unit tests of `HttpHostList`."""
 
     def test_hosts(self) -> None:
-        """The list arrives unchanged; a failure of the list or of the way to it has one type."""
+        """The list is preserved; any failure of the list or the connection raises one type."""
 
         async def run() -> None:
             host = ListedHost(
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -1,4 +1,4 @@
-"""Edge processes keep to the limit of a target together."""
+"""Edge processes together keep to the request rate limit of a target."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -19,7 +19,7 @@
 HOSTS = 3
 
 PAUSE = 0.2
-"""Seconds between two requests of a caller, of whom each host has one."""
+"""Mean seconds between two requests of a caller; each host has one caller."""
 
 
 async def press(callers: str, *, seconds: float, seed: int) -> list[int]:
@@ -39,13 +39,11 @@
 
 
 class TestSeveralHosts:
-    """Hosts that hear of each other."""
+    """Several hosts that exchange messages."""
 
     @pytest.mark.parametrize(("limit", "number"), [("1", 0), ("0.5", 1)])
-    def test_target_gets_more_than_it_named_from_all_hosts_together(
-        self, tmp_path: Path, limit: str, number: int
-    ) -> None:
-        """The sum over all hosts is kept, and the other target serves the rest."""
+    def test_limit_holds_over_all_hosts(self, tmp_path: Path, limit: str, number: int) -> None:
+        """All hosts together stay within the limit, and another target serves the rest."""
 
         async def scenario() -> None:
             store = StoreStandin()
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves in the answers to orders."""
+"""The headers of engines' responses to orders."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Engine:
-    """Answers each order alike."""
+    """An engine that responds to every order in the same way."""
 
     def __init__(self, *, status: int, headers: Headers) -> None:
         self._status = status
@@ -21,29 +21,29 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """What a connection may ask."""
+        """Limits on a connection."""
         return CallerLimits()
 
     @property
     def closing(self) -> bool:
-        """Connections are kept."""
+        """Whether connections are closed after a response: never."""
         return False
 
     def refuse(self, exchange: Exchange, error: Exception) -> None:
-        """Answer what is no request."""
+        """Respond to an invalid request."""
         exchange.respond(status=400, headers=(), body=b"")
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer an order."""
+        """Respond to an order."""
         exchange.respond(status=self._status, headers=self._headers, body=b"{}")
 
 
 class TestAnswers:
-    """Answers to orders that set memory aside and free it."""
+    """Responses to orders that reserve and release memory."""
 
     @pytest.mark.parametrize("status", [200, 409])
-    def test_word_of_an_engine_in_an_order_goes_unheard(self, status: int) -> None:
-        """The head of each answer is handed on, also that of a refusal."""
+    def test_head_of_each_response_is_passed_on(self, status: int) -> None:
+        """The head of each response is passed on, also that of a refusal."""
 
         async def scenario() -> None:
             server = HttpServer(handler=Engine(status=status, headers=(("server-limit", "2"),)))
@@ -70,10 +70,10 @@
         [(("server-leaving", "1"), {}), (("server-limit", "0.5"), {"s0": 0.5})],
         ids=["leaving", "limit"],
     )
-    def test_target_is_treated_by_what_it_said(
+    def test_headers_of_a_response_take_effect(
         self, header: tuple[str, str], limits: dict[str, float]
     ) -> None:
-        """It counts as if it stood in the answer to a request."""
+        """A header in the response to an order has the same effect as in that to a request."""
 
         async def scenario() -> None:
             async with serve() as bed:
--- a/tests/platform/test_own_entries.py
+++ b/tests/platform/test_own_entries.py
@@ -1,17 +1,17 @@
-"""A host writes its own entries again where the store came back from a copy without them."""
+"""A host rewrites its own entries if a restored store lacks them."""
 
 from azureswitch.core import HostName, PlaceName
 from azureswitch.metrics import Metrics
 from azureswitch.platform._foreign import ForeignTracker
-from azureswitch.platform._roster import ROSTER_KIND, Seat, StoreHostList
+from azureswitch.platform._roster import ROSTER_KIND, HostEntry, StoreHostList
 from tests.platform.test_restored import run, serve_store
 
 
 class TestHostList:
-    """This host's own entry."""
+    """The entry of this host in the list."""
 
     def test_entered_again(self) -> None:
-        """It is written again where the copy lacks it, and once."""
+        """It is rewritten, exactly once, if the restored store lacks it."""
 
         async def scenario() -> None:
             async with serve_store() as (standin, store):
@@ -19,7 +19,7 @@
                 hosts = StoreHostList(
                     store=store,
                     host=HostName("h1"),
-                    seat=Seat(place=PlaceName("z1"), address="127.0.0.1:7000"),
+                    entry=HostEntry(place=PlaceName("z1"), address="127.0.0.1:7000"),
                     foreign=ForeignTracker(
                         metrics=Metrics(), kinds=(ROSTER_KIND,), clock=lambda: 0.0
                     ),
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -1,7 +1,7 @@
-"""What is known of requests that crash targets outlasts the death of all hosts.
+"""Quarantined requests survive the death of all hosts.
 
-Callers' requests crash engines, all hosts are killed at once, and the requests come again: hosts
-that ask nobody what they did before give them three more engines each time.
+If hosts kept them only in memory, a request that crashes targets would crash three more of them
+each time that all hosts are killed and the request is sent again.
 """
 
 import asyncio
@@ -25,18 +25,18 @@
 TARGETS = 5
 
 LOOKUP = "/look/1"
-"""A path whose requests may repeat."""
+"""A path whose requests may be retried."""
 
 KEPT_SECONDS = 3.0
-"""Seconds after which what lasts is in the store, which is up or was away for two of them."""
+"""Seconds after which quarantined requests are stored, also after a store outage of two."""
 
 
 HELD_LONG = 60.0
-"""Seconds to come back after, from which on a request is held back over a start of all hosts."""
+"""Retry delay in seconds above which a request stays quarantined over a restart of all hosts."""
 
 
 async def fill(store: StoreStandin, targets: list[FakeTarget]) -> None:
-    """Write a configuration and some targets that listen."""
+    """Write a configuration and some running targets."""
     value = configuration(version=1, extra=False, idle_routes=0)
     await store.store.create(kind="config", name="main", value=value)
     for number, target in enumerate(targets):
@@ -46,18 +46,18 @@
 
 
 async def crash_until_held(callers: str) -> None:
-    """Send a request that crashes its targets, and come back as told, until it is held for long."""
+    """Send a request that crashes targets, and retry as told, until it is quarantined for long."""
     for number in range(20):
         answer = await ask(callers, LOOKUP, id=f"r{number}", body=b"crashes")
         seconds = answer.head.retry_after or 0.0
         if seconds > HELD_LONG:
             return
         await asyncio.sleep(seconds)
-    raise AssertionError("It was never held back for long.")
+    raise AssertionError("The request was never quarantined for long.")
 
 
 class TestAllKilled:
-    """The only host, or all of them, are killed after a request has crashed three targets."""
+    """All hosts (here a single one) are killed after a request has crashed three targets."""
 
     @pytest.mark.parametrize(
         ("ip", "faults"),
@@ -67,7 +67,7 @@
         ],
     )
     def test_remembered(self, tmp_path: Path, ip: str, faults: StoreFaults) -> None:
-        """The request is not run again, and others are."""
+        """The request is not run again, and other requests are."""
 
         async def scenario() -> None:
             store = StoreStandin()
--- a/tests/platform/test_reader_properties.py
+++ b/tests/platform/test_reader_properties.py
@@ -1,4 +1,4 @@
-"""Whatever others write into the store, the reader neither fails nor loses a good entry."""
+"""The reader neither fails nor loses a valid entry, whatever other programs write."""
 
 import json
 from contextlib import suppress
@@ -21,7 +21,7 @@
 KIND = "servers"
 
 UNHURRIED = settings(deadline=None)
-"""A busy machine may stop for longer than an example may take."""
+"""Disables the deadline per example, which a busy machine may exceed."""
 
 SCALARS = st.none() | st.booleans() | st.integers() | st.floats() | st.text()
 
@@ -33,13 +33,13 @@
     | st.dictionaries(FIELDS | st.text(max_size=3), inner, max_size=4),
     max_leaves=12,
 )
-"""Arbitrary JSON in which the platform's fields are frequent; `json` writes NaN and the like."""
+"""Arbitrary JSON with frequent platform fields; `json` also writes NaN and infinities."""
 
 JUNK = st.binary(min_size=1, max_size=30).filter(lambda raw: not set(raw) & set(b'"[]{},\\'))
-"""Bytes that are no JSON and don't tear the page apart."""
+"""Bytes that are not JSON but keep the brackets of the page balanced."""
 
 TEARS = ("no bytes", "cut off")
-"""Contents that tear the page apart, so that it is no JSON and is asked for again."""
+"""Contents that unbalance the brackets of the page, so that it cannot be split."""
 
 CONTENTS = st.one_of(
     st.builds(lambda value, ascii: dump(value, ascii=ascii), VALUES, st.booleans()),
@@ -66,17 +66,17 @@
         CONTENTS,
     ),
 )
-"""Arbitrary entries; none is called as a good one is."""
+"""Arbitrary entries, none with the name of a valid one."""
 
 
 def dump(value: Any, *, ascii: bool) -> bytes:
-    """Return the JSON of a value, also where it is no text that UTF-8 knows."""
+    """Return the JSON of a value, which may contain text invalid in UTF-8."""
     return json.dumps(value, ensure_ascii=ascii).encode(errors="surrogatepass")
 
 
 @st.composite
 def good(draw: st.DrawFn) -> dict[str, Any]:
-    """Return what a target may say of itself."""
+    """Return the fields of a valid target entry."""
     return {
         **GOOD,
         "Service": draw(st.text(min_size=1, max_size=5)),
@@ -89,7 +89,7 @@
 
 
 def _plain(value: Any) -> Any:
-    """Return a value without numbers that are none in JSON and texts that UTF-8 does not know."""
+    """Return a value without NaN and infinities, which are not valid JSON."""
     return json.loads(json.dumps(value).replace("NaN", "1").replace("Infinity", "1"))
 
 
@@ -101,18 +101,18 @@
 
 
 def mixed(ours: list[bytes], others: list[bytes]) -> bytes:
-    """Return the elements of a list in which good entries stand between others."""
+    """Return JSON list elements that alternate between other and valid entries."""
     pairs = zip_longest(others, ours)
     return b",".join(entry for pair in pairs for entry in pair if entry is not None)
 
 
 def before(entry: bytes) -> StoredObject:
-    """Return a good entry as it is decoded alone."""
+    """Return a valid entry decoded on its own."""
     return from_wire(kind=KIND, item=msgspec.json.decode(entry, type=WireObject))
 
 
 def expected(name: str, fields: dict[str, Any]) -> Target:
-    """Return the target of a good entry."""
+    """Return the target of a valid entry."""
     serving = fields["State"] == "in_service"
     return Target(
         name=TargetName(name),
@@ -125,12 +125,12 @@
 
 
 class TestBytes:
-    """Bytes of any kind."""
+    """Arbitrary bytes."""
 
     @UNHURRIED
     @given(st.binary() | CONTENTS | ENTRIES)
     def test_whole(self, raw: bytes) -> None:
-        """A page that is none is refused by type; nothing else is raised."""
+        """An invalid page raises `ValueError` and nothing else."""
         for body in (raw, b'{"Items":%s,"AsOf":3}' % raw, b'{"events":%s,"AsOf":3}' % raw):
             with suppress(ValueError):
                 read_listing(body, kind=KIND)
@@ -143,7 +143,7 @@
     @UNHURRIED
     @given(st.lists(st.tuples(st.text(), st.binary() | CONTENTS)))
     def test_values(self, values: list[tuple[str, bytes]]) -> None:
-        """Each value of an entry either names a target or is told of as foreign."""
+        """Each entry is either read as a target or reported as foreign."""
         items = [
             StoredObject(kind=KIND, name=name, version=1, value=value) for name, value in values
         ]
@@ -152,12 +152,12 @@
 
 
 class TestGood:
-    """Good entries between others."""
+    """Valid entries between arbitrary ones."""
 
     @UNHURRIED
     @given(st.lists(good(), max_size=4), st.lists(ENTRIES, max_size=4), st.booleans())
     def test_listing(self, ours: list[dict[str, Any]], others: list[bytes], more: bool) -> None:
-        """All of them are read as they are alone, and the page's own fields hold."""
+        """All are read as on their own, and the page's own fields are preserved."""
         entries = [good_entry(f"g-{n}", fields) for n, fields in enumerate(ours)]
         body = b'{"Items":[%s],"HasMore":%s,"AsOf":9}' % (
             mixed(entries, others),
@@ -175,7 +175,7 @@
     @UNHURRIED
     @given(st.lists(good(), max_size=4), st.lists(ENTRIES, max_size=4), st.booleans())
     def test_changes(self, ours: list[dict[str, Any]], others: list[bytes], removed: bool) -> None:
-        """All changes of them are told, and the version to go on from holds."""
+        """All their changes are reported, and the version to continue from is preserved."""
         entries = [good_entry(f"g-{n}", fields) for n, fields in enumerate(ours)]
         flag = dump(removed, ascii=True)
         events = [b'{"Object":%s,"Removed":%s}' % (entry, flag) for entry in entries]
--- a/tests/platform/test_restored.py
+++ b/tests/platform/test_restored.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, whose versions go back and are given out again."""
+"""A store restored from a backup, which assigns the same versions again."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -26,14 +26,14 @@
 KIND = "servers"
 
 MOST_LISTS = 3
-"""Readings of all objects that one drill may cost a host."""
+"""Full listings that one restore may cost a host."""
 
 CALM_SECONDS = 1.0
 
 
 @asynccontextmanager
 async def serve_store() -> AsyncIterator[tuple[StoreStandin, HttpStore]]:
-    """Serve a store that holds an object, and give a way to it that has called it."""
+    """Serve a store that holds an object, and yield it with a client that has called it."""
     standin = StoreStandin()
     await standin.start()
     await standin.store.create(kind=KIND, name="a", value=b"1")
@@ -48,7 +48,7 @@
 
 @asynccontextmanager
 async def mirrored(store: HttpStore) -> AsyncIterator[Callable[[], dict[str, bytes]]]:
-    """Follow a store, and give the values of the copy by name."""
+    """Mirror a store, and yield a function that returns the mirrored values by name."""
     seen: dict[str, bytes] = {}
 
     def publish(objects: tuple[StoredObject, ...]) -> None:
@@ -79,11 +79,11 @@
 
 
 class TestMirror:
-    """The copy that a host keeps, through a drill."""
+    """A host's mirror of the store, through a restore."""
 
     @pytest.mark.parametrize("lost", [0, 1, 40])
     def test_follows(self, lost: int) -> None:
-        """It is what the restored store holds, hears of what follows, and costs few calls."""
+        """It matches the restored store, follows later changes, and needs few listings."""
 
         async def scenario() -> None:
             async with serve_store() as (standin, store), mirrored(store) as seen:
@@ -102,7 +102,7 @@
         run(scenario)
 
     def test_given_again(self) -> None:
-        """A version given out again for other contents is not taken for the one that is known."""
+        """A version assigned again to other contents is not mistaken for the known one."""
 
         async def scenario() -> None:
             async with serve_store() as (standin, store), mirrored(store) as seen:
@@ -117,11 +117,11 @@
 
 
 class TestEras:
-    """What is told of the era."""
+    """The era that the store reports."""
 
     @pytest.mark.parametrize("told", ["", "x", "-1", "1.5", "9" * 30])
     def test_no_era(self, told: str) -> None:
-        """A text that is no era is passed over, and the store is used as before."""
+        """An invalid era is ignored, and the store is used as before."""
 
         async def scenario() -> None:
             async with serve_store() as (standin, store):
@@ -133,7 +133,7 @@
         run(scenario)
 
     def test_older(self) -> None:
-        """An answer of an older era is none."""
+        """A response of an older era is rejected."""
 
         async def scenario() -> None:
             async with serve_store() as (standin, store):
@@ -155,7 +155,7 @@
         )
     )
     def test_versions(self, places: list[tuple[int, int]]) -> None:
-        """Versions are ordered by era and then by revision, and tell both again."""
+        """Versions are ordered by era and then by revision, and both can be recovered."""
         one, two = (version_of(era=era, revision=revision) for era, revision in places)
         assert (one < two) is (places[0] < places[1])
         assert [(era_of(v), revision_of(v)) for v in (one, two)] == places
@@ -163,10 +163,10 @@
 
 
 class TestConditions:
-    """Writes and watches that go by a version of before."""
+    """Writes and watches that use a version from before the restore."""
 
     def test_update(self) -> None:
-        """A write under the condition of an old version fails, though the number stands again."""
+        """A write conditional on an old version fails, even if its revision is in use again."""
 
         async def scenario() -> None:
             async with serve_store() as (standin, store):
@@ -187,7 +187,7 @@
 
     @pytest.mark.parametrize("written", [0, 3])
     def test_watch(self, written: int) -> None:
-        """A watch from an old version is told that its history is gone, whatever stands there."""
+        """A watch from an old version fails as its history is gone, whatever was written since."""
 
         async def scenario() -> None:
             async with serve_store() as (standin, store):
--- a/tests/platform/test_suspension.py
+++ b/tests/platform/test_suspension.py
@@ -1,4 +1,4 @@
-"""A host that was suspended finds out that time has passed which its clock does not count."""
+"""A suspended host accounts for the time that its monotonic clock does not count."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,7 +25,7 @@
 from tests.waiting import reach
 
 SUSPENDED = "suspended"
-"""The file that says for how many seconds the process was suspended so far."""
+"""The file that holds the total seconds for which the process was suspended."""
 
 CLOCK = f"""\
 import time
@@ -42,17 +42,17 @@
 
 time.clock_gettime = clock_gettime
 """
-"""Read by an interpreter as it starts; its clock since boot counts suspensions, and no other."""
+"""Executed at interpreter start; makes only the boot-time clock include suspensions."""
 
 DEADLINE_SECONDS = 5.0
 
 EARLY_SECONDS = 2.0
-"""Seconds within which a request ends whose deadline was over as its host woke up."""
+"""Seconds within which a request ends if its deadline passed during the suspension."""
 
 
 @asynccontextmanager
 async def hung(tmp_path: Path, ip: str) -> AsyncIterator[tuple[str, asyncio.subprocess.Process]]:
-    """Start a host before a target that never answers, and give its address for callers."""
+    """Start a host with a target that never responds; yield the callers' address and process."""
     (tmp_path / "sitecustomize.py").write_text(CLOCK, encoding="utf-8")
     store = StoreStandin()
     await store.start()
@@ -69,12 +69,12 @@
 
 
 def suspend(tmp_path: Path, seconds: float) -> None:
-    """Move the clock since boot on, and no other."""
+    """Advance only the boot-time clock."""
     (tmp_path / SUSPENDED).write_text(str(seconds), encoding="utf-8")
 
 
 async def timed(callers: str, path: str) -> tuple[HttpAnswer, float]:
-    """Send a request and return its answer, and the seconds that it took by the steady clock."""
+    """Send a request, and return the response and the seconds taken by the monotonic clock."""
     began = monotonic()
     left = (header_names.MILLISECONDS_LEFT, str(int(DEADLINE_SECONDS * 1_000)))
     answer = await ask(callers, path, headers=(left,))
@@ -82,7 +82,7 @@
 
 
 class TestSuspended:
-    """What becomes of requests that a host holds as it is suspended."""
+    """Requests in progress while their host is suspended."""
 
     @pytest.mark.parametrize(
         ("ip", "path", "seconds", "early"),
@@ -95,7 +95,7 @@
     def test_deadline(
         self, tmp_path: Path, ip: str, path: str, seconds: float, early: bool
     ) -> None:
-        """A request whose deadline passed meanwhile ends at once, and another one in its time."""
+        """A request whose deadline passed meanwhile ends at once, others at their deadline."""
 
         async def scenario() -> None:
             async with hung(tmp_path, ip) as (callers, _):
@@ -103,7 +103,7 @@
                 await asyncio.sleep(0.5)
                 suspend(tmp_path, seconds)
                 answer, took = await asking
-                # It is told by the next step of the program, up to 50 ms after the answer.
+                # It is logged in the next step of the program, up to 50 ms after the response.
                 log = tmp_path / LOG
                 await reach(lambda: "Host was suspended." in log.read_text(encoding="utf-8"))
             assert answer.head.status == 504
@@ -112,7 +112,7 @@
         run(scenario)
 
     def test_stop(self, tmp_path: Path) -> None:
-        """The time of grace goes on while a host is suspended that was told to stop."""
+        """The grace period of a stopping host includes the time for which it is suspended."""
 
         async def scenario() -> None:
             async with hung(tmp_path, f"{NETWORK}.53") as (callers, process):
@@ -124,7 +124,7 @@
                 began = monotonic()
                 answer, _ = await asking
                 await process.wait()
-            # Its outcome is not known, and it is not run again.
+            # The outcome of the request is unknown, and it is not retried.
             assert answer.head.status in (502, 504)
             assert monotonic() - began < EARLY_SECONDS
 
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -1,4 +1,4 @@
-"""Which targets the entries of the store name, and which entries name none."""
+"""Reading targets from store entries, and reporting invalid ones."""
 
 import asyncio
 from typing import Any
@@ -12,14 +12,14 @@
 from azureswitch.metrics import Metrics
 from azureswitch.platform import Fault, Foreign, HttpStore, TargetReader, decode_deployment
 from azureswitch.platform._foreign import (
-    DETAIL_MOST,
-    LINES_MOST,
-    LINES_SECONDS,
-    LISTED_MOST,
-    NAME_MOST,
+    LINES_WINDOW_SECONDS,
+    MAX_DETAIL_CHARACTERS,
+    MAX_LINES,
+    MAX_LISTED,
+    MAX_NAME_CHARACTERS,
     ForeignTracker,
 )
-from azureswitch.platform._roster import ROSTER_KIND, Seat, StoreHostList
+from azureswitch.platform._roster import ROSTER_KIND, HostEntry, StoreHostList
 from azureswitch.ports import StoredObject
 from azureswitch_standins.store import StoreStandin
 from bench.soak._documents import configuration
@@ -35,7 +35,7 @@
 
 
 def deployment() -> Deployment:
-    """Return a configuration that names the service."""
+    """Return a configuration that defines the service."""
     value = configuration(version=1, extra=False, idle_routes=0)
     return decode_deployment(StoredObject(kind="config", name="main", version=1, value=value))
 
@@ -52,7 +52,7 @@
         ("value", "fault"), [pytest.param(*row, id=name) for name, row in NO_TARGET.items()]
     )
     def test_foreign(self, value: bytes, fault: Fault) -> None:
-        """An entry that is not what a target says of itself names none; the others hold."""
+        """An invalid entry is reported as foreign; the other entries are used."""
         items = [stored("a", spec()), stored("b", value, version=7), stored("c", spec())]
         found = TargetReader(places=PLACES).read(items, deployment=deployment())
         assert names(found.targets) == ["a", "c"]
@@ -62,7 +62,7 @@
 
     @pytest.mark.parametrize("name", ["a b", "a\r\nb", "\x00", "ä", "a" * 257])
     def test_name(self, name: str) -> None:
-        """A name that no header can carry names no target."""
+        """An entry whose name is invalid in a header is foreign."""
         found = TargetReader().read([stored(name, spec())], deployment=None)
         assert [item.fault for item in found.foreign] == [Fault.NAME]
 
@@ -80,7 +80,7 @@
         ],
     )
     def test_whole(self, fields: dict[str, Any], role: TargetRole | None, started: int) -> None:
-        """What a target tells of itself is decoded, and what is not known is passed over."""
+        """Known fields are decoded, and unknown fields are ignored."""
         found = TargetReader(places=PLACES).read([stored("a", spec(**fields))], deployment=None)
         expected = [] if role is None else [(role, started)]
         assert [(target.role, target.started) for target in found.targets] == expected
@@ -100,24 +100,24 @@
             *(("Sequence", 4, wrong) for wrong in (None, "4", 4.0)),
         ],
     )
-    def test_untold(
+    def test_missing_field(
         self, field: str, value: Any, wrong: Any, told: int, untold: int, foreign: int
     ) -> None:
-        """An entry that does not tell what more than half of the others do names no target."""
+        """An entry that lacks a field which more than half of the entries have is foreign."""
         items = [stored(f"t{n}", spec(**{field: value})) for n in range(told)]
         items += [stored(f"u{n}", spec(**{field: wrong})) for n in range(untold)]
         found = TargetReader().read(items, deployment=None)
         assert len(found.targets) == told + untold - foreign
         assert sorted(item.name for item in found.foreign) == [f"u{n}" for n in range(foreign)]
 
-    def test_untold_beside_foreign(self) -> None:
-        """Entries that name no target for another reason count for neither side."""
+    def test_missing_field_beside_foreign(self) -> None:
+        """Entries that are foreign for another reason are not counted for common fields."""
         items = [stored(f"f{n}", spec(State="x", born=5)) for n in range(9)]
         items += [stored("a", spec()), stored("b", spec(born=5))]
         assert names(TargetReader().read(items, deployment=None).targets) == ["a", "b"]
 
     def test_service_of_route(self) -> None:
-        """Services are known by the list of them or by a route; before both none is unknown."""
+        """A service is known from the list or a route; without a configuration any is accepted."""
         value = msgspec.json.encode(
             {"Version": 1, "Routes": [{"Host": "h", "Service": "x"}], "Services": [{"Name": "y"}]}
         )
@@ -127,20 +127,20 @@
         assert names(reader.read(items, deployment=None).targets) == ["x", "y", "z"]
         assert names(reader.read(items, deployment=known).targets) == ["x", "y"]
 
-    def test_turns(self) -> None:
-        """An entry that turns foreign has gone, and one that becomes whole has come."""
+    def test_changed(self) -> None:
+        """An entry that becomes foreign is dropped, and one that becomes valid is added."""
         reader = TargetReader(places=PLACES)
         for version, (value, left) in enumerate([(spec(), ["a"]), (b"{}", []), (spec(), ["a"])]):
             found = reader.read([stored("a", value, version)], deployment=deployment())
             assert names(found.targets) == left
 
 
-class TestBook:
+class TestTracker:
     """`ForeignTracker`."""
 
     @staticmethod
     def book(now: list[float]) -> tuple[ForeignTracker, Metrics]:
-        """Return a book by a clock that a test sets."""
+        """Return a tracker with a clock set by the test, and its metrics."""
         metrics = Metrics()
         return ForeignTracker(metrics=metrics, kinds=("servers",), clock=lambda: now[0]), metrics
 
@@ -150,45 +150,45 @@
         return Foreign(name=name, version=version, fault=Fault.ADDRESS, detail=detail)
 
     def test_once(self, caplog: pytest.LogCaptureFixture) -> None:
-        """Each version is told of once, with its name and what is wrong."""
+        """Each version is logged once, with its name and fault."""
         book, _ = self.book([0.0])
         for version in (1, 1, 2, 2):
-            book.see("servers", [self.foreign("i-1", version, "nowhere")])
+            book.set_entries("servers", [self.foreign("i-1", version, "nowhere")])
         lines = [record.getMessage() for record in caplog.records]
         assert len(lines) == 2
         assert all("'i-1'" in line and "address: nowhere" in line for line in lines)
 
     def test_bounded(self, caplog: pytest.LogCaptureFixture) -> None:
-        """Lines are bounded in number and length, and those left out are counted."""
+        """Log lines are limited in number and length, and suppressed ones are counted."""
         now = [0.0]
         book, _ = self.book(now)
-        book.see("servers", [self.foreign(f"{n}" * 99, 1, "x" * 9_999) for n in range(999)])
-        assert len(caplog.records) == LINES_MOST
-        now[0] = LINES_SECONDS
-        book.see("servers", [self.foreign("last")])
-        assert f"({999 - LINES_MOST} others" in caplog.records[-1].getMessage()
+        book.set_entries("servers", [self.foreign(f"{n}" * 99, 1, "x" * 9_999) for n in range(999)])
+        assert len(caplog.records) == MAX_LINES
+        now[0] = LINES_WINDOW_SECONDS
+        book.set_entries("servers", [self.foreign("last")])
+        assert f"({999 - MAX_LINES} others" in caplog.records[-1].getMessage()
         assert max(len(record.getMessage()) for record in caplog.records) < 400
 
     def test_unnamed(self, caplog: pytest.LogCaptureFixture) -> None:
-        """Entries without a name are told of once, however often they are listed."""
+        """Unnamed entries are logged once, however often they are listed."""
         book, metrics = self.book([0.0])
         for _ in range(3):
-            book.see_unnamed("servers", ("w", "w", "v"), True)
+            book.update_unnamed("servers", ("w", "w", "v"), True)
         assert len(caplog.records) == 2
         text = metrics.text()[0].decode()
         assert 'azureswitch_foreign_entries{fault="unnamed",kind="servers"} 3' in text
 
     def test_counted(self) -> None:
-        """The gauge shows what is foreign now."""
+        """The gauge shows the current number of foreign entries."""
         book, metrics = self.book([0.0])
         line = 'azureswitch_foreign_entries{fault="address",kind="servers"} '
         for count in (2, 1, 0):
-            book.see("servers", [self.foreign(f"{n}") for n in range(count)])
+            book.set_entries("servers", [self.foreign(f"{n}") for n in range(count)])
             assert f"{line}{count}" in metrics.text()[0].decode()
 
 
 class TestReport:
-    """What `ForeignTracker` tells of the entries that are foreign now."""
+    """`ForeignTracker.report`."""
 
     @pytest.mark.parametrize(
         ("named", "unnamed", "total", "listed"),
@@ -197,15 +197,17 @@
             (1, 0, 1, 1),
             (0, 2, 2, 0),
             (3, 2, 5, 3),
-            (LISTED_MOST, 0, LISTED_MOST, LISTED_MOST),
-            (LISTED_MOST + 7, 1, LISTED_MOST + 8, LISTED_MOST),
+            (MAX_LISTED, 0, MAX_LISTED, MAX_LISTED),
+            (MAX_LISTED + 7, 1, MAX_LISTED + 8, MAX_LISTED),
         ],
     )
     def test_bounded(self, named: int, unnamed: int, total: int, listed: int) -> None:
-        """The list is bounded, and the totals are of all."""
-        book, _ = TestBook.book([0.0])
-        book.see("servers", [TestBook.foreign(f"i-{number:05}") for number in range(named)])
-        book.see_unnamed("servers", ("odd",) * unnamed, True)
+        """The list is limited, and the totals count all entries."""
+        book, _ = TestTracker.book([0.0])
+        book.set_entries(
+            "servers", [TestTracker.foreign(f"i-{number:05}") for number in range(named)]
+        )
+        book.update_unnamed("servers", ("odd",) * unnamed, True)
         found = book.report()
         assert [(part.collection, part.total, part.unnamed) for part in found] == (
             [("servers", total, unnamed)] if total else []
@@ -217,25 +219,25 @@
         ("name", "detail", "told_name", "told_detail"),
         [
             ("i-1", "d", "i-1", "d"),
-            ("n" * 5_000, "d", "n" * NAME_MOST, "d"),
-            ("i-1", "d" * 5_000, "i-1", "d" * DETAIL_MOST),
+            ("n" * 5_000, "d", "n" * MAX_NAME_CHARACTERS, "d"),
+            ("i-1", "d" * 5_000, "i-1", "d" * MAX_DETAIL_CHARACTERS),
             ("\ud800", "\ud800", "?", "?"),
         ],
     )
     def test_quoted(self, name: str, detail: str, told_name: str, told_detail: str) -> None:
-        """What is quoted of an entry is bounded, and can be told whatever it is."""
-        book, _ = TestBook.book([0.0])
-        book.see("servers", [TestBook.foreign(name, detail=detail)])
+        """Quoted text is truncated, and can be encoded whatever it contains."""
+        book, _ = TestTracker.book([0.0])
+        book.set_entries("servers", [TestTracker.foreign(name, detail=detail)])
         ((entry,),) = (part.entries for part in book.report())
         assert (entry.name, entry.detail) == (told_name, told_detail)
         assert (entry.version, entry.fault) == (1, "address")
         msgspec.json.encode(entry)
 
-    def test_mended(self) -> None:
-        """An entry that is whole again, or has gone, is told no more."""
-        book, _ = TestBook.book([0.0])
-        book.see("servers", [TestBook.foreign("i-1")])
-        book.see("servers", [])
+    def test_repaired(self) -> None:
+        """An entry that becomes valid or is removed is no longer reported."""
+        book, _ = TestTracker.book([0.0])
+        book.set_entries("servers", [TestTracker.foreign("i-1")])
+        book.set_entries("servers", [])
         assert book.report() == ()
 
 
@@ -244,7 +246,7 @@
 
     @pytest.mark.parametrize("own", [None, b'{"place":7}', b"\xff", b""])
     def test_foreign(self, own: bytes | None) -> None:
-        """Hosts are found beside entries that tell of none, also in this host's own place."""
+        """Hosts are found beside foreign entries, even if this host's own entry was foreign."""
 
         async def run() -> None:
             standin = StoreStandin()
@@ -260,7 +262,7 @@
             hosts = StoreHostList(
                 store=HttpStore(address=standin.address, timeout=PATIENCE),
                 host=HostName("h1"),
-                seat=Seat(place=PlaceName("p"), address="10.0.0.2:7"),
+                entry=HostEntry(place=PlaceName("p"), address="10.0.0.2:7"),
                 foreign=ForeignTracker(metrics=Metrics(), kinds=(ROSTER_KIND,), clock=lambda: 0.0),
             )
             found = [(host.name, host.address) for host in await hosts.hosts()]
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -1,4 +1,4 @@
-"""What the platform's folder decodes: settings, headers, configuration and targets."""
+"""Decoding the platform's settings, headers, configuration and targets."""
 
 from pathlib import Path
 
@@ -80,7 +80,7 @@
     (["3", "2"], NamedLimit(text="3, 2", rate=2.0)),
     (["3", "many"], NamedLimit(text="3, many")),
 )
-"""What targets may say of the requests that they take, and how it is read."""
+"""Values of a target's limit headers, and the limits read from them."""
 
 
 def stored(value: bytes, name: str = "main") -> StoredObject:
@@ -97,7 +97,7 @@
     """`read_settings`."""
 
     def test_read(self, tmp_path: Path) -> None:
-        """What is needed is decoded, and what is not known is passed over."""
+        """Known fields are decoded, and unknown fields are ignored."""
         path = tmp_path / "local.toml"
         path.write_text(SETTINGS)
         settings = read_settings(path)
@@ -108,7 +108,7 @@
 
     @pytest.mark.parametrize("text", [None, "", "NodeName = ", SETTINGS.replace("Front", "Back")])
     def test_refused(self, tmp_path: Path, text: str | None) -> None:
-        """Settings that are missing, malformed or lack what is needed are refused by type."""
+        """Settings that are missing, malformed or incomplete raise `PlatformSettingsError`."""
         path = tmp_path / "local.toml"
         if text is not None:
             path.write_text(text)
@@ -121,7 +121,7 @@
     """`decode_deployment` and `TargetReader`."""
 
     def test_decoded(self) -> None:
-        """Names become the project's own, and times become seconds."""
+        """Fields get the project's names, and times are converted to seconds."""
         deployment = decode_deployment(stored(CONFIGURATION))
         stream, plain = deployment.routes
         assert (stream.host, stream.kind, stream.timeout) == (
@@ -148,7 +148,7 @@
         [("in_service", TargetRole.SERVING), ("draining", TargetRole.DRAINING)],
     )
     def test_target(self, state: str, role: TargetRole) -> None:
-        """A target has its service's memory, and one that is draining takes no work."""
+        """A target has the memory of its service's engines, and the role of its state."""
         value = (
             b'{"Service":"huvo11a","Address":"10.0.0.9:80","Zone":"pnw-a","State":"%s",'
             b'"Models":[{"Name":"m","Version":1}],"Sequence":4}' % state.encode()
@@ -160,7 +160,7 @@
 
     @pytest.mark.parametrize("value", [b"", b"{}", b"[]", b'{"Version":"x"}', b"\xff", DEEP])
     def test_unreadable(self, value: bytes) -> None:
-        """What cannot be read is refused by type, so that the old one stays in force."""
+        """An unreadable configuration or target is rejected without other errors."""
         with pytest.raises(DeploymentUnreadableError):
             decode_deployment(stored(value))
         found = TargetReader().read([stored(value)], deployment=None)
@@ -171,7 +171,7 @@
     """`PlatformDialect`."""
 
     def test_read(self) -> None:
-        """Headers are decoded, with times in seconds."""
+        """Headers are decoded, and times are converted to seconds."""
         arrival = PlatformDialect().read(
             request(
                 ("x-azureswitch-attempt-id", "9c41"),
@@ -202,14 +202,14 @@
         ],
     )
     def test_refused(self, header: tuple[str, str]) -> None:
-        """A value that means nothing is refused by the header's name."""
+        """An invalid value raises an error with the header's name."""
         headers = dict((("x-azureswitch-attempt-id", "1"), header))
         with pytest.raises(InvalidHeaderError) as caught:
             PlatformDialect().read(request(*headers.items()))
         assert caught.value.name == header[0]
 
     def test_sending(self) -> None:
-        """A target gets what it is to know from us, whatever the caller said."""
+        """A target gets this system's headers, and not the caller's values for them."""
         dialect = PlatformDialect()
         caller = request(
             ("x-azureswitch-attempt-id", "1"),
@@ -281,14 +281,14 @@
         ],
     )
     def test_judge(self, status: int, headers: Headers, verdict: Verdict) -> None:
-        """A target's promise is read from its header or status, and from nothing else."""
+        """The verdict follows from the status and the headers of the response."""
         assert PlatformDialect().judge(HttpHead(status=status, headers=headers)) == verdict
 
     @pytest.mark.parametrize(
         ("error", "after"), [(NoTargetError(seconds=0.25), "0.250"), (UnknownPathError(), None)]
     )
     def test_failure(self, error: AzureswitchError, after: str | None) -> None:
-        """A failure says when to come back where that helps, and never bears a seal."""
+        """An error response has a retry delay if one is known, and never a seal."""
         headers, body = PlatformDialect().failure(error)
         assert dict(headers).get("retry-after") == after
         assert "x-azureswitch-response-seal" not in dict(headers)
