--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -84,7 +84,7 @@
 """Fleet size assumed for sharing the retry burst while the real one is unknown: the largest fleet.
 
 With an assumed size of nine, a fleet of 70 hosts that started together retried more often than its
-targets can bear, in 1 of 8 simulated days of fault search.
+targets can bear, on 1 of 8 days of the fault search.
 """
 
 
--- a/tests/platform/test_end.py
+++ b/tests/platform/test_end.py
@@ -83,7 +83,7 @@
 
     monkeypatch.setattr(_program, "run_to_end", note)
     gc.unfreeze()
-    # The program starts with collection disabled, which would slow down loading.
+    # The program disables collection while it loads, because collections would slow down loading.
     gc.disable()
     try:
         assert _program.main() == _program.EXIT_OK
--- a/tests/platform/test_reader_properties.py
+++ b/tests/platform/test_reader_properties.py
@@ -36,10 +36,10 @@
 """Arbitrary JSON with frequent platform fields; `json` also writes NaN and infinities."""
 
 JUNK = st.binary(min_size=1, max_size=30).filter(lambda raw: not set(raw) & set(b'"[]{},\\'))
-"""Bytes that are not JSON but keep the brackets of the page balanced."""
+"""Bytes that are not JSON but leave the structure of the page intact."""
 
 TEARS = ("no bytes", "cut off")
-"""Contents that unbalance the brackets of the page, so that it cannot be split."""
+"""Contents that break the structure of the page, so that it is rejected and requested again."""
 
 CONTENTS = st.one_of(
     st.builds(lambda value, ascii: dump(value, ascii=ascii), VALUES, st.booleans()),
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -139,7 +139,7 @@
     """`ForeignTracker`."""
 
     @staticmethod
-    def book(now: list[float]) -> tuple[ForeignTracker, Metrics]:
+    def tracker(now: list[float]) -> tuple[ForeignTracker, Metrics]:
         """Return a tracker with a clock set by the test, and its metrics."""
         metrics = Metrics()
         return ForeignTracker(metrics=metrics, kinds=("servers",), clock=lambda: now[0]), metrics
@@ -151,9 +151,9 @@
 
     def test_once(self, caplog: pytest.LogCaptureFixture) -> None:
         """Each version is logged once, with its name and fault."""
-        book, _ = self.book([0.0])
+        tracker, _ = self.tracker([0.0])
         for version in (1, 1, 2, 2):
-            book.set_entries("servers", [self.foreign("i-1", version, "nowhere")])
+            tracker.set_entries("servers", [self.foreign("i-1", version, "nowhere")])
         lines = [record.getMessage() for record in caplog.records]
         assert len(lines) == 2
         assert all("'i-1'" in line and "address: nowhere" in line for line in lines)
@@ -161,29 +161,31 @@
     def test_bounded(self, caplog: pytest.LogCaptureFixture) -> None:
         """Log lines are limited in number and length, and suppressed ones are counted."""
         now = [0.0]
-        book, _ = self.book(now)
-        book.set_entries("servers", [self.foreign(f"{n}" * 99, 1, "x" * 9_999) for n in range(999)])
+        tracker, _ = self.tracker(now)
+        tracker.set_entries(
+            "servers", [self.foreign(f"{n}" * 99, 1, "x" * 9_999) for n in range(999)]
+        )
         assert len(caplog.records) == MAX_LINES
         now[0] = LINES_WINDOW_SECONDS
-        book.set_entries("servers", [self.foreign("last")])
+        tracker.set_entries("servers", [self.foreign("last")])
         assert f"({999 - MAX_LINES} others" in caplog.records[-1].getMessage()
         assert max(len(record.getMessage()) for record in caplog.records) < 400
 
     def test_unnamed(self, caplog: pytest.LogCaptureFixture) -> None:
         """Unnamed entries are logged once, however often they are listed."""
-        book, metrics = self.book([0.0])
+        tracker, metrics = self.tracker([0.0])
         for _ in range(3):
-            book.update_unnamed("servers", ("w", "w", "v"), True)
+            tracker.update_unnamed("servers", ("w", "w", "v"), True)
         assert len(caplog.records) == 2
         text = metrics.text()[0].decode()
         assert 'azureswitch_foreign_entries{fault="unnamed",kind="servers"} 3' in text
 
     def test_counted(self) -> None:
         """The gauge shows the current number of foreign entries."""
-        book, metrics = self.book([0.0])
+        tracker, metrics = self.tracker([0.0])
         line = 'azureswitch_foreign_entries{fault="address",kind="servers"} '
         for count in (2, 1, 0):
-            book.set_entries("servers", [self.foreign(f"{n}") for n in range(count)])
+            tracker.set_entries("servers", [self.foreign(f"{n}") for n in range(count)])
             assert f"{line}{count}" in metrics.text()[0].decode()
 
 
@@ -203,12 +205,12 @@
     )
     def test_bounded(self, named: int, unnamed: int, total: int, listed: int) -> None:
         """The list is limited, and the totals count all entries."""
-        book, _ = TestTracker.book([0.0])
-        book.set_entries(
+        tracker, _ = TestTracker.tracker([0.0])
+        tracker.set_entries(
             "servers", [TestTracker.foreign(f"i-{number:05}") for number in range(named)]
         )
-        book.update_unnamed("servers", ("odd",) * unnamed, True)
-        found = book.report()
+        tracker.update_unnamed("servers", ("odd",) * unnamed, True)
+        found = tracker.report()
         assert [(part.collection, part.total, part.unnamed) for part in found] == (
             [("servers", total, unnamed)] if total else []
         )
@@ -226,19 +228,19 @@
     )
     def test_quoted(self, name: str, detail: str, told_name: str, told_detail: str) -> None:
         """Quoted text is truncated, and can be encoded whatever it contains."""
-        book, _ = TestTracker.book([0.0])
-        book.set_entries("servers", [TestTracker.foreign(name, detail=detail)])
-        ((entry,),) = (part.entries for part in book.report())
+        tracker, _ = TestTracker.tracker([0.0])
+        tracker.set_entries("servers", [TestTracker.foreign(name, detail=detail)])
+        ((entry,),) = (part.entries for part in tracker.report())
         assert (entry.name, entry.detail) == (told_name, told_detail)
         assert (entry.version, entry.fault) == (1, "address")
         msgspec.json.encode(entry)
 
     def test_repaired(self) -> None:
         """An entry that becomes valid or is removed is no longer reported."""
-        book, _ = TestTracker.book([0.0])
-        book.set_entries("servers", [TestTracker.foreign("i-1")])
-        book.set_entries("servers", [])
-        assert book.report() == ()
+        tracker, _ = TestTracker.tracker([0.0])
+        tracker.set_entries("servers", [TestTracker.foreign("i-1")])
+        tracker.set_entries("servers", [])
+        assert tracker.report() == ()
 
 
 class TestHostList:
