--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -15,14 +15,14 @@
     UnknownModelError,
     UnknownServiceError,
 )
-from azureswitch.serving._allowed import lane_for, limit_refusal
-from azureswitch.serving._cost import MARGIN, Cost
+from azureswitch.serving._cost import DURATION_MARGIN, Cost
 from azureswitch.serving._events import Call
 from azureswitch.serving._fleet import Pool
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._spreading import MOST_PARTS
 from azureswitch.serving._state import ServingState
 from azureswitch.serving._target import TargetState
+from azureswitch.serving._throttling import lane_for, limit_refusal
 
 SHORT_QUEUE_SECONDS = 4.0
 """Seconds that a short prompt may be expected to wait here before it is refused."""
@@ -60,7 +60,7 @@
     wrong = _wrong(state, call, now=now)
     if wrong is not None:
         return wrong
-    held_back = state.crashes.seconds_left(call, now=now)
+    held_back = state.crashes.quarantine_seconds(call, now=now)
     if held_back:
         return QuarantinedError(seconds=held_back)
     pool = state.fleet.pool(service=call.service, model=call.model)
@@ -114,7 +114,7 @@
 
 def _stop_margin(state: ServingState, *, now: float) -> float:
     """Return how many times its prediction a call that a leaving host begins may take."""
-    return LATE_MARGIN if now > state.leaving_since + TURNED_SECONDS else MARGIN
+    return LATE_MARGIN if now > state.leaving_since + TURNED_SECONDS else DURATION_MARGIN
 
 
 def _elsewhere(state: ServingState) -> float:
--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -160,14 +160,14 @@
 
     @property
     def touched(self) -> bool:
-        """Whether `look` may have something to tell."""
+        """Whether `pop_changes` may have something to tell."""
         return bool(self._touched)
 
     def set_hosts(self, hosts: Iterable[HostName]) -> None:
         """Take over which hosts live, which try by turns as a request is held back no more."""
         self._hosts = tuple(hosts)
 
-    def broke_off(self, call: Call, start: TargetStart, *, now: float) -> None:
+    def record_crash(self, call: Call, start: TargetStart, *, now: float) -> None:
         """Note that a target broke off as it ran a call."""
         if not call.fingerprint:
             return
@@ -214,7 +214,7 @@
             if fresh:
                 suspect.newest = max(suspect.newest, at)
 
-    def seconds_left(self, call: Call, *, now: float) -> float:
+    def quarantine_seconds(self, call: Call, *, now: float) -> float:
         """Return for how long a call is held back, or zero where it may be sent."""
         if not self._suspects:
             return 0.0
@@ -228,7 +228,7 @@
         """Return how many requests are held back."""
         return len(self._quarantined())
 
-    def look(self, *, now: float) -> list[QuarantineChange]:
+    def pop_changes(self, *, now: float) -> list[QuarantineChange]:
         """Return which requests are held back, or for longer, since the last look, or no more."""
         found = []
         for key in self._touched:
--- a/src/azureswitch/serving/_fleet.py
+++ b/src/azureswitch/serving/_fleet.py
@@ -19,13 +19,13 @@
 UNREACHABLE_SECONDS = 1.0
 """Seconds for which a target that did not answer a poll gets no new work."""
 
-EJECT_FIRST = 1.0
+FIRST_EJECTION_SECONDS = 1.0
 """Seconds for which a target is avoided after its first failure."""
 
-EJECT_MOST = 30.0
+MAX_EJECTION_SECONDS = 30.0
 """Seconds for which a target is avoided after many failures."""
 
-PACED_EJECT_MOST = 4.0
+MAX_UNSHARED_EJECTION_SECONDS = 4.0
 """The same where connections are made anew for each attempt, so that a wrong guess costs little."""
 
 SAVE_SECONDS = 1.0
@@ -221,7 +221,9 @@
             # However long: a target that is asked again meanwhile cannot recover.
             state.unusable_until = max(state.unusable_until, now + seconds)
 
-    def failed(self, target: TargetName, *, now: float, longest: float = EJECT_MOST) -> None:
+    def failed(
+        self, target: TargetName, *, now: float, longest: float = MAX_EJECTION_SECONDS
+    ) -> None:
         """Prefer other targets for a while, longer with every failure in a row.
 
         Args:
@@ -232,7 +234,7 @@
         state = self._states.get(target)
         if state is not None:
             state.failures += 1
-            pause = min(longest, EJECT_FIRST * 2.0 ** (state.failures - 1))
+            pause = min(longest, FIRST_EJECTION_SECONDS * 2.0 ** (state.failures - 1))
             state.ejected_until = now + pause
             self._suspects[target] = state.ejected_until
 
@@ -242,12 +244,12 @@
         if state is not None:
             state.failures = 0
 
-    def save(self, targets: Iterable[TargetName], *, call: CallId, now: float) -> None:
+    def reserve_memory(self, targets: Iterable[TargetName], *, call: CallId, now: float) -> None:
         """Send no more long prompts to targets for a while, so that their memory frees up."""
         for name in targets:
             self._saved[name] = (call, now + SAVE_SECONDS)
 
-    def may_save(self, *, now: float) -> bool:
+    def may_reserve_memory(self, *, now: float) -> bool:
         """Return whether this host may save targets; only one host does at a time.
 
         Of two that began together the one whose name is greater yields.
@@ -257,7 +259,7 @@
                 return False
         return True
 
-    def unsave(self, call: CallId) -> None:
+    def release_memory(self, call: CallId) -> None:
         """Send long prompts again to the targets that were saved for a call."""
         for name in [name for name, (owner, _) in self._saved.items() if owner == call]:
             del self._saved[name]
@@ -266,7 +268,7 @@
         """Return the targets that this host saves."""
         return tuple(sorted(name for name, (_, until) in self._saved.items() if now < until))
 
-    def takes_long(self, target: TargetName, *, call: CallId, now: float) -> bool:
+    def accepts_long_prompts(self, target: TargetName, *, call: CallId, now: float) -> bool:
         """Return whether a target is not saved for another call, here or at a peer."""
         owner, until = self._saved.get(target, (call, 0.0))
         if owner != call and now < until:
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -26,7 +26,7 @@
     Observe,
     SettleClaim,
 )
-from azureswitch.serving._ending import beside, decide, finish, observe
+from azureswitch.serving._ending import finish, observe, run_isolated, run_step
 from azureswitch.serving._events import (
     AttemptEnded,
     AttemptSilent,
@@ -56,9 +56,15 @@
     TokensArrived,
     TotalsReceived,
 )
-from azureswitch.serving._giving_up import end_quarantined, out_of_time, stop, too_late
+from azureswitch.serving._failover import (
+    leave_unreachable,
+    replace_silent,
+    restart_attempts,
+    withdraw,
+)
+from azureswitch.serving._gossip import publish_digest, publish_totals
 from azureswitch.serving._length import Level, level_of
-from azureswitch.serving._limited import (
+from azureswitch.serving._limit_events import (
     answer_permit,
     asks,
     hear_limits,
@@ -66,12 +72,16 @@
     note_no_limit,
     take_permit,
 )
-from azureswitch.serving._removal import lose, resend, silent, withdraw
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from azureswitch.serving._state import CallRecord, Phase, ServingState, Timer, TimerKind
-from azureswitch.serving._telling import tell, tell_totals
+from azureswitch.serving._termination import (
+    end_expired,
+    end_quarantined,
+    end_stopped,
+    end_unfinishable,
+)
 
-TICK = 0.05
+TICK_SECONDS = 0.05
 """Seconds between two `Ticked` events."""
 
 
@@ -87,24 +97,29 @@
     """
     effects = _apply(event, state)
     if state.crashes.touched:
-        effects += beside(partial(_begin_quarantines, state, now=event.now), name="A quarantine")
+        effects += run_isolated(
+            partial(_begin_quarantines, state, now=event.now), name="A quarantine"
+        )
     effects += asks(state, now=event.now)
     if state.ledger.changed or state.crashes.changed or state.limits.news:
-        effects = [*effects, *beside(partial(tell, state, now=event.now), name="A digest")]
+        effects = [
+            *effects,
+            *run_isolated(partial(publish_digest, state, now=event.now), name="A digest"),
+        ]
     return tuple(effects) or NO_EFFECTS
 
 
 def _begin_quarantines(state: ServingState, *, now: float) -> list[Effect]:
     """Tell of requests that are held back from now on, and end the calls that wait to be sent."""
-    changes = state.crashes.look(now=now)
+    changes = state.crashes.pop_changes(now=now)
     if not changes:
         return []
     effects: list[Effect] = [AnnounceQuarantine(change=change) for change in changes]
     for record in list(state.calls.values()):
         waiting = record.phase in (Phase.WAITING, Phase.BACKING_OFF)
-        if waiting and state.crashes.seconds_left(record.call, now=now):
+        if waiting and state.crashes.quarantine_seconds(record.call, now=now):
             step = partial(end_quarantined, state, record, now=now)
-            effects += decide(state, record, step, now=now)
+            effects += run_step(state, record, step, now=now)
     return effects
 
 
@@ -147,7 +162,7 @@
     if call.model:
         state.fairness.charge(call.customer, cost.total, now=now)
         short = level is Level.SHORT and not state.fairness.exceeds(call.customer, now=now)
-        state.split.admitted(call, seconds=cost.prefill, short=short, now=now)
+        state.split.record_admitted(call, seconds=cost.prefill, short=short, now=now)
     state.timers.set(at=state.ends_at(call), kind=TimerKind.DEADLINE, call=call.id)
     state.timers.set(
         at=call.deadline - cost.prefill - cost.answer / 2.0,
@@ -179,7 +194,7 @@
         return []
     record.claimed = True
     record.phase = Phase.WAITING
-    return decide(state, record, partial(dispatch, state, record, now=event.now), now=event.now)
+    return run_step(state, record, partial(dispatch, state, record, now=event.now), now=event.now)
 
 
 @_apply.register
@@ -228,7 +243,7 @@
     if record is None:
         return []
     step = partial(first_token, state, record, event.attempt, now=event.now)
-    return decide(state, record, step, now=event.now)
+    return run_step(state, record, step, now=event.now)
 
 
 @_apply.register
@@ -244,8 +259,8 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    step = partial(silent, state, record, event.attempt, now=event.now)
-    return decide(state, record, step, now=event.now)
+    step = partial(replace_silent, state, record, event.attempt, now=event.now)
+    return run_step(state, record, step, now=event.now)
 
 
 @_apply.register
@@ -253,7 +268,7 @@
     record = state.calls.get(event.call)
     if record is None:
         return []
-    return decide(state, record, partial(ended, state, record, event), now=event.now)
+    return run_step(state, record, partial(ended, state, record, event), now=event.now)
 
 
 # --- Targets --------------------------------------------------------------------------------------
@@ -277,7 +292,7 @@
 @_apply.register
 def _(event: TargetUnreachable, state: ServingState) -> list[Effect]:
     silent = state.fleet.unreachable(event.target, now=event.now)
-    return lose(state, event.target, now=event.now) if silent >= LOST_SECONDS else []
+    return leave_unreachable(state, event.target, now=event.now) if silent >= LOST_SECONDS else []
 
 
 @_apply.register
@@ -311,9 +326,11 @@
 
 @_apply.register
 def _(event: DigestReceived, state: ServingState) -> list[Effect]:
-    if event.digest.host != state.myself.name and state.fairness.hear(event.digest, now=event.now):
+    if event.digest.host != state.myself.name and state.fairness.apply_digest(
+        event.digest, now=event.now
+    ):
         state.fleet.hear(_of_known_starts(state, event.digest), now=event.now)
-        state.split.hear(event.digest, now=event.now)
+        state.split.apply_digest(event.digest, now=event.now)
         state.ledger.hear(
             host=event.digest.host,
             occupancies=event.digest.occupancies,
@@ -371,7 +388,7 @@
 @_apply.register
 def _(event: SnapshotAdopted, state: ServingState) -> list[Effect]:
     restarted = state.adopt(event.snapshot)
-    effects = resend(state, restarted, now=event.now) if restarted else []
+    effects = restart_attempts(state, restarted, now=event.now) if restarted else []
     return effects + drain_all(state, now=event.now)
 
 
@@ -392,8 +409,12 @@
     return [
         effect
         for record in list(state.calls.values())
-        for effect in decide(
-            state, record, partial(stop, state, record, now=event.now), now=event.now, final=True
+        for effect in run_step(
+            state,
+            record,
+            partial(end_stopped, state, record, now=event.now),
+            now=event.now,
+            final=True,
         )
     ]
 
@@ -410,13 +431,15 @@
         if record is not None:
             step = partial(_fire, state, record, timer, now=now)
             final = timer.kind is TimerKind.DEADLINE
-            effects += decide(state, record, step, now=now, final=final)
-    effects += beside(partial(drain_all, state, now=now), name="The queue")
-    effects += beside(partial(_expire, state, now=now), name="Forgetting")
+            effects += run_step(state, record, step, now=now, final=final)
+    effects += run_isolated(partial(drain_all, state, now=now), name="The queue")
+    effects += run_isolated(partial(_expire, state, now=now), name="Forgetting")
     if state.digest_due(now):
-        effects += beside(partial(tell, state, regular=True, now=now), name="A digest")
-        effects += beside(partial(tell_totals, state), name="The totals")
-        effects += beside(partial(_expire_slowly, state, now=now), name="Forgetting")
+        effects += run_isolated(
+            partial(publish_digest, state, regular=True, now=now), name="A digest"
+        )
+        effects += run_isolated(partial(publish_totals, state), name="The totals")
+        effects += run_isolated(partial(_expire_slowly, state, now=now), name="Forgetting")
     return effects
 
 
@@ -436,9 +459,9 @@
 
 def _fire(state: ServingState, record: CallRecord, timer: Timer, *, now: float) -> list[Effect]:
     if timer.kind is TimerKind.DEADLINE:
-        return out_of_time(state, record, now=now)
+        return end_expired(state, record, now=now)
     if timer.kind is TimerKind.LATEST_START and record.phase is Phase.WAITING:
-        return too_late(state, record, now=now)
+        return end_unfinishable(state, record, now=now)
     if timer.kind is TimerKind.RETRY and record.phase is Phase.BACKING_OFF:
         return dispatch(state, record, now=now)
     if timer.kind is TimerKind.HEDGE:
--- a/src/azureswitch/serving/_giving_up.py
+++ b/src/azureswitch/serving/_termination.py
@@ -14,11 +14,11 @@
     RefusedError,
     RetriesExhaustedError,
 )
-from azureswitch.serving._allowed import all_limited, limit_reached
 from azureswitch.serving._effects import ClaimOutcome
 from azureswitch.serving._ending import finish
 from azureswitch.serving._retries import backoff
 from azureswitch.serving._state import CallRecord, ServingState
+from azureswitch.serving._throttling import all_limited, limit_reached
 
 
 def give_up(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
@@ -29,7 +29,7 @@
 
 def end_quarantined(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """End a call under which targets crash, at once; it is sent to no other one."""
-    seconds = state.crashes.seconds_left(record.call, now=now)
+    seconds = state.crashes.quarantine_seconds(record.call, now=now)
     return _refuse(state, record, QuarantinedError(seconds=seconds), now=now)
 
 
@@ -48,7 +48,7 @@
     return finish(state, record, error=error, outcome=ClaimOutcome.UNKNOWN, now=now)
 
 
-def out_of_time(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
+def end_expired(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """End a call whose deadline has come."""
     if record.attempts or record.may_have_run:
         error: AzureswitchError = DeadlineExceededError()
@@ -57,7 +57,7 @@
     return finish(state, record, error=error, outcome=ClaimOutcome.NOT_RUN, now=now)
 
 
-def too_late(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
+def end_unfinishable(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """Give up on a waiting call that could no longer finish in its time."""
     if record.may_have_run:
         return give_up(state, record, now=now)
@@ -67,7 +67,7 @@
     return finish(state, record, error=error, outcome=ClaimOutcome.NOT_RUN, now=now)
 
 
-def stop(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
+def end_stopped(state: ServingState, record: CallRecord, *, now: float) -> list[Effect]:
     """End a call that is open as this host stops, and say truly whether it may have run."""
     seconds = backoff(1, random=state.random)
     if not record.attempts and not record.may_have_run:
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_isolation.py
@@ -32,9 +32,9 @@
     TargetUnreachable,
     Ticked,
     _attempts,
+    _failover,
+    _gossip,
     _reduce,
-    _removal,
-    _telling,
 )
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from tests.serving.fixtures import Driver, engine, model_call, only, plain_call, snapshot
@@ -66,17 +66,17 @@
 
 def at_stop(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let the step fail that ends a call as its host stops."""
-    patch.setattr(_reduce, "stop", failing(_reduce.stop))
+    patch.setattr(_reduce, "end_stopped", failing(_reduce.end_stopped))
 
 
 def at_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let the step fail that ends a call at its deadline."""
-    patch.setattr(_reduce, "out_of_time", failing(_reduce.out_of_time))
+    patch.setattr(_reduce, "end_expired", failing(_reduce.end_expired))
 
 
 def at_freeing(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let it fail to free what a call holds, each time that it is tried."""
-    patch.setattr(driver.state.fleet, "unsave", failing(driver.state.fleet.unsave))
+    patch.setattr(driver.state.fleet, "release_memory", failing(driver.state.fleet.release_memory))
 
 
 def at_drain(driver: Driver, patch: pytest.MonkeyPatch) -> None:
@@ -97,7 +97,7 @@
 def at_digest(driver: Driver, patch: pytest.MonkeyPatch) -> None:
     """Let fail what is told to peers."""
     patch.setattr(type(driver.state.ledger), "changed", True)
-    patch.setattr(_telling, "_digest", always)
+    patch.setattr(_gossip, "_digest", always)
 
 
 def sent() -> Driver:
@@ -163,7 +163,7 @@
         monkeypatch.setattr(_attempts, "choose", lambda *args, **more: None)
         for name in (FAULTY, CallId("c3")):
             driver.arrive(model_call(name))
-        monkeypatch.setattr(_attempts, "choose", failing(_removal.choose))
+        monkeypatch.setattr(_attempts, "choose", failing(_failover.choose))
         driver.tick(1.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
         assert [start.call for start in only(StartAttempt, driver.effects)] == ["c3"]
@@ -248,7 +248,7 @@
                 _attempts,
                 "retry",
             ),
-            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _removal, "retry"),
+            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _failover, "retry"),
         ],
     )
     def test_answered(
@@ -317,7 +317,7 @@
         for name in CALLS:
             driver.arrive(model_call(name, tokens=10))
         driver.send(SnapshotAdopted(now=0.0, snapshot=snapshot(revision=2, targets=ENGINES)))
-        monkeypatch.setattr(_removal, step, failing(getattr(_removal, step)))
+        monkeypatch.setattr(_failover, step, failing(getattr(_failover, step)))
         bring(driver, TargetName("e1"))
         driver.tick(3.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
