--- a/src/azureswitch/serving/_limit_events.py
+++ b/src/azureswitch/serving/_limit_events.py
@@ -1,4 +1,4 @@
-"""What hosts hear of targets' limits and tell each other, and the permits that they exchange."""
+"""Handlers of events that concern rate limits of targets, and of permit messages between hosts."""
 
 from collections.abc import Iterable
 from functools import partial
@@ -17,8 +17,8 @@
 
 
 def note_limit(state: ServingState, event: LimitNamed) -> list[Effect]:
-    """Keep to a limit that a target names, from now on."""
-    change = state.limits.name(
+    """Record a limit that a target announces, which applies from now on."""
+    change = state.limits.record_limit(
         event.target, started=event.started, rate=safe_rate(event.rate), now=event.now
     )
     if change is None:
@@ -27,20 +27,22 @@
 
 
 def note_no_limit(state: ServingState, event: LimitUnnamed) -> list[Effect]:
-    """Let a target have more and more requests that names no limit any more."""
-    change = state.limits.unname(
+    """Record the end of a limit, which starts the ramp-up of its target."""
+    change = state.limits.record_no_limit(
         event.target, started=event.started, sent=event.sent, now=event.now
     )
     return [] if change is None else [AnnounceLimit(change=change, text="")]
 
 
-def hear_limits(state: ServingState, reports: Iterable[LimitReport], *, now: float) -> list[Effect]:
-    """Take over what a peer tells of limits."""
-    return [AnnounceLimit(change=change) for change in state.limits.hear(reports, now=now)]
+def merge_limits(
+    state: ServingState, reports: Iterable[LimitReport], *, now: float
+) -> list[Effect]:
+    """Merge the limits that a peer reports."""
+    return [AnnounceLimit(change=change) for change in state.limits.merge(reports, now=now)]
 
 
-def asks(state: ServingState, *, now: float) -> list[Effect]:
-    """Ask for the permits that were found missing."""
+def request_permits(state: ServingState, *, now: float) -> list[Effect]:
+    """Return the effects that ask owners for the permits that were missing."""
     effects: list[Effect] = []
     for target in state.permits.pop_asks():
         report = state.limits.report(target, now=now)
@@ -50,9 +52,9 @@
 
 
 def answer_permit(state: ServingState, event: PermitAsked) -> list[Effect]:
-    """Answer a peer, which may know more of the target's limit, or less."""
+    """Answer a peer's request for a permit; each side learns the other's report of the limit."""
     target, now = event.report.target, event.now
-    effects = hear_limits(state, [event.report], now=now)
+    effects = merge_limits(state, [event.report], now=now)
     grant = state.permits.grant(target, host=event.host, now=now)
     report = state.limits.report(target, now=now)
     answer = AnswerPermit(host=event.host, target=target, grant=grant, report=report)
@@ -60,22 +62,22 @@
 
 
 def take_permit(state: ServingState, event: PermitAnswered) -> list[Effect]:
-    """Send what waits for a permit, and refuse what none will come for in time."""
+    """Apply a permit, send calls that waited, and refuse those that will get none in time."""
     now = event.now
     effects: list[Effect] = []
     if event.report is not None:
-        effects += hear_limits(state, [event.report], now=now)
+        effects += merge_limits(state, [event.report], now=now)
     state.permits.answer(event.target, event.grant, now=now)
     state.queue.unblock()
     effects += drain_all(state, now=now)
     for record in list(state.calls.values()):
-        if record.phase is Phase.WAITING and _in_vain(state, record, now=now):
+        if record.phase is Phase.WAITING and _permit_too_late(state, record, now=now):
             step = partial(end_limited, state, record, now=now)
             effects += run_step(state, record, step, now=now)
     return effects
 
 
-def _in_vain(state: ServingState, record: CallRecord, *, now: float) -> bool:
+def _permit_too_late(state: ServingState, record: CallRecord, *, now: float) -> bool:
     """Return whether a call waits for a permit that will not come in time."""
     if not all_limited(state, record.pool, now=now):
         return False
--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -21,7 +21,7 @@
 from azureswitch.serving._spreading import choose_long
 from azureswitch.serving._state import CallRecord, ServingState
 from azureswitch.serving._target import TargetState, Work
-from azureswitch.serving._throttling import is_limited, is_unheard, permitted
+from azureswitch.serving._throttling import is_limited, needs_probe, permitted
 
 MIN_HEALTHY_SHARE = 0.5
 """Minimum share of targets without recent failures for the other targets to be avoided.
@@ -105,7 +105,7 @@
         target=target,
         occupancy=occupancy,
         limited=is_limited(state, target, now=now),
-        probe=is_unheard(state, target, now=now),
+        probe=needs_probe(state, target, now=now),
     )
 
 
