--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -104,7 +104,7 @@
                 targets=",".join(effect.targets),
                 held=sum(effect.reserved),
                 predicted=round(effect.first_token, 3),
-                peers=effect.accounts,
+                peers=effect.known_peers,
                 held_back=effect.held_back,
                 after=record.last_event,
             )
@@ -192,7 +192,7 @@
             arrival=record.arrival,
             customer=record.call.customer,
             target=first.name,
-            quarantine_seconds=left,
+            seconds_left=left,
             last_event=record.last_event,
             urgency=effect.priority,
             helpers=tuple(_helper(target, tickets) for target in targets[1:]),
