--- a/src/azureswitch/gateway/__init__.py
+++ b/src/azureswitch/gateway/__init__.py
@@ -3,7 +3,7 @@
 from azureswitch.gateway._gateway import Gateway
 from azureswitch.gateway._log import PeersKnown
 from azureswitch.gateway._model import (
-    Arrival,
+    RequestInfo,
     Deployment,
     Helper,
     NamedLimit,
@@ -21,7 +21,7 @@
 __all__ = [
     "Neighbours",
     "neighbours_of",
-    "Arrival",
+    "RequestInfo",
     "Deployment",
     "Dialect",
     "Gateway",
--- a/src/azureswitch/gateway/_front.py
+++ b/src/azureswitch/gateway/_front.py
@@ -18,7 +18,7 @@
     RequestRefused,
     RequestUnserved,
 )
-from azureswitch.gateway._model import Arrival, Deployment, Route, RouteKind
+from azureswitch.gateway._model import RequestInfo, Deployment, Route, RouteKind
 from azureswitch.gateway._ports import Dialect
 from azureswitch.gateway._prepared import Prepared
 from azureswitch.gateway._records import CallRecord
@@ -187,7 +187,7 @@
     )
 
 
-def _customer(deployment: Deployment, route: Route, arrival: Arrival) -> CustomerName:
+def _customer(deployment: Deployment, route: Route, arrival: RequestInfo) -> CustomerName:
     if not deployment.customers or route.anonymous:
         return CustomerName("")
     customer = deployment.customers.get(arrival.key or "")
@@ -196,7 +196,7 @@
     return customer
 
 
-def _seconds(arrival: Arrival, route: Route) -> float:
+def _seconds(arrival: RequestInfo, route: Route) -> float:
     """Return how long a request may take: as the caller says, and no longer than its route."""
     if arrival.seconds_left is None:
         return route.timeout
--- a/src/azureswitch/gateway/_model.py
+++ b/src/azureswitch/gateway/_model.py
@@ -86,7 +86,7 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
 
-class Arrival(Struct, frozen=True, kw_only=True):
+class RequestInfo(Struct, frozen=True, kw_only=True):
     """What a request's headers say, decoded.
 
     Attributes:
@@ -133,7 +133,7 @@
         helpers: The engines that help to read the prompt.
     """
 
-    arrival: Arrival
+    arrival: RequestInfo
     customer: CustomerName
     target: str
     seconds_left: float
--- a/src/azureswitch/gateway/_ports.py
+++ b/src/azureswitch/gateway/_ports.py
@@ -4,7 +4,7 @@
 
 from azureswitch.client import Headers, HttpHead
 from azureswitch.exceptions import AzureswitchError
-from azureswitch.gateway._model import Arrival, Sending, Verdict
+from azureswitch.gateway._model import RequestInfo, Sending, Verdict
 from azureswitch.server import HttpRequest
 from azureswitch.serving import (
     AnnounceQuarantine,
@@ -21,7 +21,7 @@
 class Dialect(Protocol):
     """The headers by which callers, this system and targets understand each other."""
 
-    def read(self, request: HttpRequest) -> Arrival:
+    def read(self, request: HttpRequest) -> RequestInfo:
         """Decode a caller's headers.
 
         Raises:
--- a/src/azureswitch/gateway/_records.py
+++ b/src/azureswitch/gateway/_records.py
@@ -5,7 +5,7 @@
 from msgspec import Struct, field
 
 from azureswitch.client import HttpAnswer
-from azureswitch.gateway._model import Arrival, Route
+from azureswitch.gateway._model import RequestInfo, Route
 from azureswitch.server import Exchange
 from azureswitch.serving import Call
 
@@ -30,7 +30,7 @@
     """
 
     call: Call
-    arrival: Arrival
+    arrival: RequestInfo
     route: Route
     exchange: Exchange
     started: float
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -9,7 +9,7 @@
 from azureswitch.client import HOP_BY_HOP, Headers, HttpHead
 from azureswitch.core import CallId
 from azureswitch.exceptions import AzureswitchError, InvalidHeaderError
-from azureswitch.gateway import Arrival, Helper, NamedLimit, Sending, Verdict
+from azureswitch.gateway import RequestInfo, Helper, NamedLimit, Sending, Verdict
 from azureswitch.platform import _headers as names
 from azureswitch.server import HttpRequest
 
@@ -38,12 +38,12 @@
 class PlatformDialect:
     """The `azureswitch.gateway.Dialect` of the platform."""
 
-    def read(self, request: HttpRequest) -> Arrival:
+    def read(self, request: HttpRequest) -> RequestInfo:
         """Decode a caller's headers."""
         headers = dict(request.headers)
         prompt, output = _tokens(headers.get(names.TOKENS))
         left = _number(headers, names.MILLISECONDS_LEFT)
-        return Arrival(
+        return RequestInfo(
             id=CallId(_id(headers)),
             key=_key(headers.get(names.KEY, "")),
             seconds_left=None if left is None else left / 1_000.0,
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,7 +14,7 @@
     PlatformSettingsError,
     UnknownPathError,
 )
-from azureswitch.gateway import Arrival, Helper, NamedLimit, RouteKind, Sending, Verdict
+from azureswitch.gateway import RequestInfo, Helper, NamedLimit, RouteKind, Sending, Verdict
 from azureswitch.inventory import TargetRole
 from azureswitch.platform import (
     PlatformDialect,
@@ -182,7 +182,7 @@
                 ("authorization", "bearer  key "),
             )
         )
-        assert arrival == Arrival(
+        assert arrival == RequestInfo(
             id=CallId("9c41"),
             key="key",
             seconds_left=1.5,
