--- a/src/azureswitch/gateway/__init__.py
+++ b/src/azureswitch/gateway/__init__.py
@@ -9,7 +9,7 @@
     NamedLimit,
     Route,
     RouteKind,
-    Sending,
+    AttemptInfo,
     Share,
     Verdict,
 )
@@ -33,7 +33,7 @@
     "Reservations",
     "Route",
     "RouteKind",
-    "Sending",
+    "AttemptInfo",
     "Share",
     "Verdict",
     "prepare",
--- a/src/azureswitch/gateway/_model.py
+++ b/src/azureswitch/gateway/_model.py
@@ -120,7 +120,7 @@
     ticket: str | None = None
 
 
-class Sending(Struct, frozen=True, kw_only=True):
+class AttemptInfo(Struct, frozen=True, kw_only=True):
     """What one attempt adds to a request.
 
     Attributes:
--- a/src/azureswitch/gateway/_ports.py
+++ b/src/azureswitch/gateway/_ports.py
@@ -4,7 +4,7 @@
 
 from azureswitch.client import Headers, HttpHead
 from azureswitch.exceptions import AzureswitchError
-from azureswitch.gateway._model import RequestInfo, Sending, Verdict
+from azureswitch.gateway._model import RequestInfo, AttemptInfo, Verdict
 from azureswitch.server import HttpRequest
 from azureswitch.serving import (
     AnnounceQuarantine,
@@ -31,7 +31,7 @@
     def id_of(self, request: HttpRequest) -> str:
         """Return the caller's id of this one try, or nothing where it gives none."""
 
-    def sending(self, request: HttpRequest, sending: Sending) -> Headers:
+    def sending(self, request: HttpRequest, sending: AttemptInfo) -> Headers:
         """Return the headers with which an attempt is sent to a target."""
 
     def judge(self, head: HttpHead) -> Verdict:
--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -21,7 +21,7 @@
 from azureswitch.gateway._events import EventSplitter, StreamEvent
 from azureswitch.gateway._hearing import Hearing
 from azureswitch.gateway._log import AttemptOver, AttemptSent, TargetSilent
-from azureswitch.gateway._model import Helper, RouteKind, Sending, Verdict
+from azureswitch.gateway._model import Helper, RouteKind, AttemptInfo, Verdict
 from azureswitch.gateway._patience import Patience
 from azureswitch.gateway._ports import Dialect
 from azureswitch.gateway._records import CallRecord
@@ -188,7 +188,7 @@
         first = targets[0]
         sent = self._clock()
         left = record.call.deadline - sent
-        sending = Sending(
+        sending = AttemptInfo(
             arrival=record.arrival,
             customer=record.call.customer,
             target=first.name,
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -9,7 +9,7 @@
 from azureswitch.client import HOP_BY_HOP, Headers, HttpHead
 from azureswitch.core import CallId
 from azureswitch.exceptions import AzureswitchError, InvalidHeaderError
-from azureswitch.gateway import RequestInfo, Helper, NamedLimit, Sending, Verdict
+from azureswitch.gateway import RequestInfo, Helper, NamedLimit, AttemptInfo, Verdict
 from azureswitch.platform import _headers as names
 from azureswitch.server import HttpRequest
 
@@ -57,7 +57,7 @@
         """Return the caller's id of this one try, or nothing where it gives none."""
         return request.header(names.ID) or ""
 
-    def sending(self, request: HttpRequest, sending: Sending) -> Headers:
+    def sending(self, request: HttpRequest, sending: AttemptInfo) -> Headers:
         """Return the headers with which an attempt is sent to a target."""
         passed = _without(request.headers, names.SET_BY_US)
         added = [
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,7 +14,7 @@
     PlatformSettingsError,
     UnknownPathError,
 )
-from azureswitch.gateway import RequestInfo, Helper, NamedLimit, RouteKind, Sending, Verdict
+from azureswitch.gateway import RequestInfo, Helper, NamedLimit, RouteKind, AttemptInfo, Verdict
 from azureswitch.inventory import TargetRole
 from azureswitch.platform import (
     PlatformDialect,
@@ -226,7 +226,7 @@
         headers = dict(
             dialect.sending(
                 caller,
-                Sending(
+                AttemptInfo(
                     arrival=dialect.read(caller),
                     customer=CustomerName("ann"),
                     target="i-1",
