--- a/src/azureswitch/gateway/__init__.py
+++ b/src/azureswitch/gateway/__init__.py
@@ -11,7 +11,7 @@
     RouteKind,
     AttemptInfo,
     Share,
-    Verdict,
+    AnswerInfo,
 )
 from azureswitch.gateway._ports import Dialect, Reservations
 from azureswitch.gateway._prepared import Prepared, prepare
@@ -35,6 +35,6 @@
     "RouteKind",
     "AttemptInfo",
     "Share",
-    "Verdict",
+    "AnswerInfo",
     "prepare",
 ]
--- a/src/azureswitch/gateway/_hearing.py
+++ b/src/azureswitch/gateway/_hearing.py
@@ -4,7 +4,7 @@
 
 from azureswitch.core import TargetName
 from azureswitch.gateway._log import TargetLeaves
-from azureswitch.gateway._model import Verdict
+from azureswitch.gateway._model import AnswerInfo
 from azureswitch.inventory import Target
 from azureswitch.logs import Log
 from azureswitch.serving import LimitNamed, LimitUnnamed, ServingEvent, TargetLeaving
@@ -33,7 +33,7 @@
         self._log = log
         self._clock = clock
 
-    def hear_answer(self, target: Target, verdict: Verdict, *, request: str, sent: float) -> None:
+    def hear_answer(self, target: Target, verdict: AnswerInfo, *, request: str, sent: float) -> None:
         """Take the answer to a request that was sent at some time."""
         self.hear(target, verdict, id=request)
         # A refusal may come from what stands before the target's program.
@@ -45,7 +45,7 @@
                 )
             )
 
-    def hear(self, target: Target, verdict: Verdict, *, id: str) -> None:
+    def hear(self, target: Target, verdict: AnswerInfo, *, id: str) -> None:
         """Take what an answer says, as that to an order, which does not end a limit.
 
         Args:
--- a/src/azureswitch/gateway/_model.py
+++ b/src/azureswitch/gateway/_model.py
@@ -154,7 +154,7 @@
     rate: float | None = None
 
 
-class Verdict(Struct, frozen=True, kw_only=True):
+class AnswerInfo(Struct, frozen=True, kw_only=True):
     """What the head of a target's answer says of the request.
 
     Attributes:
--- a/src/azureswitch/gateway/_ports.py
+++ b/src/azureswitch/gateway/_ports.py
@@ -4,7 +4,7 @@
 
 from azureswitch.client import Headers, HttpHead
 from azureswitch.exceptions import AzureswitchError
-from azureswitch.gateway._model import RequestInfo, AttemptInfo, Verdict
+from azureswitch.gateway._model import RequestInfo, AttemptInfo, AnswerInfo
 from azureswitch.server import HttpRequest
 from azureswitch.serving import (
     AnnounceQuarantine,
@@ -34,7 +34,7 @@
     def sending(self, request: HttpRequest, sending: AttemptInfo) -> Headers:
         """Return the headers with which an attempt is sent to a target."""
 
-    def judge(self, head: HttpHead) -> Verdict:
+    def judge(self, head: HttpHead) -> AnswerInfo:
         """Decode the head of a target's answer."""
 
     def answer(self, head: HttpHead) -> Headers:
--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -21,7 +21,7 @@
 from azureswitch.gateway._events import EventSplitter, StreamEvent
 from azureswitch.gateway._hearing import Hearing
 from azureswitch.gateway._log import AttemptOver, AttemptSent, TargetSilent
-from azureswitch.gateway._model import Helper, RouteKind, AttemptInfo, Verdict
+from azureswitch.gateway._model import Helper, RouteKind, AttemptInfo, AnswerInfo
 from azureswitch.gateway._patience import Patience
 from azureswitch.gateway._ports import Dialect
 from azureswitch.gateway._records import CallRecord
@@ -236,7 +236,7 @@
         record: CallRecord,
         effect: StartAttempt,
         answer: HttpExchange,
-        verdict: Verdict,
+        verdict: AnswerInfo,
         patience: Patience,
     ) -> _End:
         head = answer.head
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -9,7 +9,7 @@
 from azureswitch.client import HOP_BY_HOP, Headers, HttpHead
 from azureswitch.core import CallId
 from azureswitch.exceptions import AzureswitchError, InvalidHeaderError
-from azureswitch.gateway import RequestInfo, Helper, NamedLimit, AttemptInfo, Verdict
+from azureswitch.gateway import RequestInfo, Helper, NamedLimit, AttemptInfo, AnswerInfo
 from azureswitch.platform import _headers as names
 from azureswitch.server import HttpRequest
 
@@ -76,11 +76,11 @@
             added.append((names.HELPERS, helpers))
         return (*passed, *added)
 
-    def judge(self, head: HttpHead) -> Verdict:
+    def judge(self, head: HttpHead) -> AnswerInfo:
         """Decode the head of a target's answer."""
         promised = head.header(name=names.NOT_RUN) is not None
         misdirected = head.status == MISDIRECTED
-        return Verdict(
+        return AnswerInfo(
             not_run=promised or misdirected,
             id=head.header(name=names.ID),
             retry_after=head.retry_after,
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -15,7 +15,7 @@
     TargetError,
     TargetRefusedError,
 )
-from azureswitch.gateway import Verdict
+from azureswitch.gateway import AnswerInfo
 from azureswitch.platform import PlatformDialect
 from azureswitch.server import CallerLimits
 from azureswitch.serving._retries import GAP_PATIENCE
@@ -292,7 +292,7 @@
     def test_fault_of_ours(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """A fault of this program ends a request at once, and not at its deadline."""
 
-        def judge(self: PlatformDialect, head: HttpHead) -> Verdict:
+        def judge(self: PlatformDialect, head: HttpHead) -> AnswerInfo:
             raise RuntimeError
 
         async def scenario() -> None:
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,7 +14,7 @@
     PlatformSettingsError,
     UnknownPathError,
 )
-from azureswitch.gateway import RequestInfo, Helper, NamedLimit, RouteKind, AttemptInfo, Verdict
+from azureswitch.gateway import RequestInfo, Helper, NamedLimit, RouteKind, AttemptInfo, AnswerInfo
 from azureswitch.inventory import TargetRole
 from azureswitch.platform import (
     PlatformDialect,
@@ -255,32 +255,32 @@
             (
                 200,
                 (("x-azureswitch-response-seal", "s"), ("x-azureswitch-attempt-id", "1")),
-                Verdict(not_run=False, id="1", sealed=True),
+                AnswerInfo(not_run=False, id="1", sealed=True),
             ),
-            (503, (("x-azureswitch-not-executed", "1"),), Verdict(not_run=True)),
-            (503, (), Verdict(not_run=False)),
-            (421, (("at-server", "1:1"),), Verdict(not_run=True, at_fault="1:1")),
+            (503, (("x-azureswitch-not-executed", "1"),), AnswerInfo(not_run=True)),
+            (503, (), AnswerInfo(not_run=False)),
+            (421, (("at-server", "1:1"),), AnswerInfo(not_run=True, at_fault="1:1")),
             (
                 503,
                 (("x-azureswitch-not-executed", "1"), ("retry-after", "0.5")),
-                Verdict(not_run=True, retry_after=0.5),
+                AnswerInfo(not_run=True, retry_after=0.5),
             ),
-            (200, (("content-encoding", "br"),), Verdict(not_run=False, readable=False)),
-            (500, (("server-leaving", "1"),), Verdict(not_run=False, leaving=True)),
-            (200, (("server-leaving", "0"),), Verdict(not_run=False)),
-            (421, (("server-leaving", "1"),), Verdict(not_run=True)),
+            (200, (("content-encoding", "br"),), AnswerInfo(not_run=False, readable=False)),
+            (500, (("server-leaving", "1"),), AnswerInfo(not_run=False, leaving=True)),
+            (200, (("server-leaving", "0"),), AnswerInfo(not_run=False)),
+            (421, (("server-leaving", "1"),), AnswerInfo(not_run=True)),
             *[
                 (
                     200,
                     tuple(("server-limit", text) for text in texts),
-                    Verdict(not_run=False, limit=limit),
+                    AnswerInfo(not_run=False, limit=limit),
                 )
                 for texts, limit in LIMITS
             ],
-            (421, (("server-limit", "1"),), Verdict(not_run=True)),
+            (421, (("server-limit", "1"),), AnswerInfo(not_run=True)),
         ],
     )
-    def test_judge(self, status: int, headers: Headers, verdict: Verdict) -> None:
+    def test_judge(self, status: int, headers: Headers, verdict: AnswerInfo) -> None:
         """A target's promise is read from its header or status, and from nothing else."""
         assert PlatformDialect().judge(HttpHead(status=status, headers=headers)) == verdict
 
