--- a/src/azureswitch/gateway/_model.py
+++ b/src/azureswitch/gateway/_model.py
@@ -142,7 +142,7 @@
     helpers: tuple[Helper, ...] = ()
 
 
-class NamedLimit(Struct, frozen=True, kw_only=True):
+class AdvertisedLimit(Struct, frozen=True, kw_only=True):
     """What a target says in an answer of the requests that it takes from all hosts together.
 
     Attributes:
@@ -175,4 +175,4 @@
     sealed: bool = False
     readable: bool = True
     leaving: bool = False
-    limit: NamedLimit | None = None
+    limit: AdvertisedLimit | None = None
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -9,7 +9,7 @@
 from azureswitch.client import HOP_BY_HOP, Headers, HttpHead
 from azureswitch.core import CallId
 from azureswitch.exceptions import AzureswitchError, InvalidHeaderError
-from azureswitch.gateway import RequestInfo, Helper, NamedLimit, AttemptInfo, AnswerInfo
+from azureswitch.gateway import RequestInfo, Helper, AdvertisedLimit, AttemptInfo, AnswerInfo
 from azureswitch.platform import _headers as names
 from azureswitch.server import HttpRequest
 
@@ -104,7 +104,7 @@
         return headers, msgspec.json.encode(Failure(error=error.code, message=error.message))
 
 
-def _limit(head: HttpHead) -> NamedLimit | None:
+def _limit(head: HttpHead) -> AdvertisedLimit | None:
     """Return the limit that a target names, the smallest where it names several.
 
     It has no rate where one of them is no decimal number.
@@ -114,7 +114,7 @@
         return None
     readable = all(DECIMAL.fullmatch(text) for text in texts)
     rate = min(map(float, texts)) if readable else None
-    return NamedLimit(text=", ".join(texts)[:LOGGED_MOST], rate=rate)
+    return AdvertisedLimit(text=", ".join(texts)[:LOGGED_MOST], rate=rate)
 
 
 def _helper(helper: Helper) -> str:
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,7 +14,7 @@
     PlatformSettingsError,
     UnknownPathError,
 )
-from azureswitch.gateway import RequestInfo, Helper, NamedLimit, RouteKind, AttemptInfo, AnswerInfo
+from azureswitch.gateway import RequestInfo, Helper, AdvertisedLimit, RouteKind, AttemptInfo, AnswerInfo
 from azureswitch.inventory import TargetRole
 from azureswitch.platform import (
     PlatformDialect,
@@ -63,22 +63,22 @@
 
 
 LIMITS = (
-    (["1"], NamedLimit(text="1", rate=1.0)),
-    (["0.5"], NamedLimit(text="0.5", rate=0.5)),
-    ([" 12.25 "], NamedLimit(text="12.25", rate=12.25)),
-    (["0"], NamedLimit(text="0", rate=0.0)),
-    (["9" * 300], NamedLimit(text="9" * 64, rate=float("9" * 300))),
-    (["9" * 400], NamedLimit(text="9" * 64)),
-    ([""], NamedLimit(text="")),
-    (["-1"], NamedLimit(text="-1")),
-    (["nan"], NamedLimit(text="nan")),
-    (["inf"], NamedLimit(text="inf")),
-    (["1e3"], NamedLimit(text="1e3")),
-    (["1_0"], NamedLimit(text="1_0")),
-    (["many"], NamedLimit(text="many")),
-    (["٣"], NamedLimit(text="٣")),
-    (["3", "2"], NamedLimit(text="3, 2", rate=2.0)),
-    (["3", "many"], NamedLimit(text="3, many")),
+    (["1"], AdvertisedLimit(text="1", rate=1.0)),
+    (["0.5"], AdvertisedLimit(text="0.5", rate=0.5)),
+    ([" 12.25 "], AdvertisedLimit(text="12.25", rate=12.25)),
+    (["0"], AdvertisedLimit(text="0", rate=0.0)),
+    (["9" * 300], AdvertisedLimit(text="9" * 64, rate=float("9" * 300))),
+    (["9" * 400], AdvertisedLimit(text="9" * 64)),
+    ([""], AdvertisedLimit(text="")),
+    (["-1"], AdvertisedLimit(text="-1")),
+    (["nan"], AdvertisedLimit(text="nan")),
+    (["inf"], AdvertisedLimit(text="inf")),
+    (["1e3"], AdvertisedLimit(text="1e3")),
+    (["1_0"], AdvertisedLimit(text="1_0")),
+    (["many"], AdvertisedLimit(text="many")),
+    (["٣"], AdvertisedLimit(text="٣")),
+    (["3", "2"], AdvertisedLimit(text="3, 2", rate=2.0)),
+    (["3", "many"], AdvertisedLimit(text="3, many")),
 )
 """What targets may say of the requests that they take, and how it is read."""
 
