--- a/models/stopping.py
+++ b/models/stopping.py
@@ -25,7 +25,7 @@
     EndRequests,
     Neighbours,
     Phase,
-    StopLooked,
+    StopObserved,
     Stopping,
 )
 from models.stopping_admission import Admission
@@ -374,10 +374,10 @@
     return READS_ON if host.reading and now < ENDS_FREELY else ""
 
 
-def _looked(host: Host, neighbours: Neighbours, *, now: float, unread: bool) -> StopLooked:
+def _looked(host: Host, neighbours: Neighbours, *, now: float, unread: bool) -> StopObserved:
     """Return what a host sees; callers that read no last answer keep their connections."""
     with_caller = (host.early and not host.left, host.late, host.kept, host.reading, unread)
-    return StopLooked(
+    return StopObserved(
         now=now,
         connections=sum(map(bool, with_caller)),
         open_requests=sum(map(bool, (host.early, host.late))),
--- a/models/stopping_mutations.py
+++ b/models/stopping_mutations.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from azureswitch.gateway import _stopping
-from azureswitch.gateway._stopping import EndRequests, Neighbours, StopLooked, Stopping
+from azureswitch.gateway._stopping import EndRequests, Neighbours, StopObserved, Stopping
 from azureswitch.serving import _admission
 from models import stopping
 from models.real_mutations import Mutations
@@ -16,7 +16,7 @@
 
 
 def _advance_as(
-    change: Callable[[Stopping, StopLooked], StopLooked],
+    change: Callable[[Stopping, StopObserved], StopObserved],
 ) -> AbstractContextManager[object]:
     """Let the reducer see something else than what is the case."""
     advance = _stopping.advance
@@ -42,7 +42,7 @@
 def forget_the_ended() -> AbstractContextManager[object]:
     """Take a host whose neighbours are being loaded for alone."""
 
-    def forget(stop: Stopping, event: StopLooked) -> StopLooked:
+    def forget(stop: Stopping, event: StopObserved) -> StopObserved:
         stop.known = 0
         return event
 
@@ -69,7 +69,7 @@
     """End with the grace, whatever is open."""
     advance = _stopping.advance
 
-    def silent(stop: Stopping, event: StopLooked) -> list[Any]:
+    def silent(stop: Stopping, event: StopObserved) -> list[Any]:
         return [e for e in advance(stop, event) if not isinstance(e, EndRequests)]
 
     with patch.object(_stopping, "advance", silent):
--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -35,7 +35,7 @@
     EndRequests,
     Neighbours,
     Phase,
-    StopLooked,
+    StopObserved,
     Stopping,
     advance,
     begin_stop,
@@ -277,9 +277,9 @@
                 await self._take_step(effect)
             await asyncio.sleep(STOP_CHECK)
 
-    def _look(self) -> StopLooked:
+    def _look(self) -> StopObserved:
         """Return what this process sees of itself and of its neighbours as it stops."""
-        return StopLooked(
+        return StopObserved(
             now=self._shell.now,
             connections=self._callers.connections,
             open_requests=self._shell.open_calls,
--- a/src/azureswitch/gateway/_stopping.py
+++ b/src/azureswitch/gateway/_stopping.py
@@ -76,7 +76,7 @@
     OVER = "the process may end"
 
 
-class StopLooked(Event, frozen=True, kw_only=True):
+class StopObserved(Event, frozen=True, kw_only=True):
     """What a stopping process sees of itself and of its neighbours.
 
     Attributes:
@@ -136,7 +136,7 @@
     return Stopping(told=since, end=since + max(0.0, grace - EXIT_MARGIN), phase_since=now)
 
 
-def advance(stop: Stopping, event: StopLooked) -> Effects:
+def advance(stop: Stopping, event: StopObserved) -> Effects:
     """Take the steps of a stop that are due.
 
     Args:
@@ -172,7 +172,7 @@
     stop.phase_since = now
 
 
-def _may_close(stop: Stopping, event: StopLooked) -> bool:
+def _may_close(stop: Stopping, event: StopObserved) -> bool:
     """Return whether to stop listening: callers go elsewhere, it is this host's turn, or late."""
     span = stop.end - stop.told
     if event.now >= stop.end - min(CLOSE_MARGIN, span / 2.0):
--- a/tests/gateway/test_steps.py
+++ b/tests/gateway/test_steps.py
@@ -15,7 +15,7 @@
     EndRequests,
     Neighbours,
     Phase,
-    StopLooked,
+    StopObserved,
     advance,
     begin_stop,
     neighbours_of,
@@ -60,7 +60,7 @@
     stop = begin_stop(now=0.0, grace=grace, told=-held)
     now = 0.0
     while stop.phase is not Phase.OVER:
-        event = StopLooked(
+        event = StopObserved(
             now=now,
             connections=int(now < busy_until),
             open_requests=requests if EndRequests not in trace.steps else 0,
@@ -169,12 +169,12 @@
     def test_taken(self, connections: int, requests: int) -> None:
         """It is looked for after the listener is closed, and waited for."""
         stop = begin_stop(now=0.0, grace=GRACE)
-        before = StopLooked(
+        before = StopObserved(
             now=LINGER_SECONDS, connections=0, open_requests=0, neighbours=OTHERS_SERVE
         )
         assert CloseListener() in advance(stop, before)
         assert stop.phase is Phase.CLOSING
-        after = StopLooked(
+        after = StopObserved(
             now=LINGER_SECONDS + STEP,
             connections=connections,
             open_requests=requests,
