--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -357,11 +357,11 @@
         self._take_targets(targets)
         self._revise()
 
-    def hear_order(self, *, address: str, order: str, head: HttpHead) -> None:
+    def handle_order_answer(self, *, address: str, order: str, head: HttpHead) -> None:
         """Take what the target at an address says of itself in the answer to an order."""
         for target in self._targets.values():
             if target.address == address:
-                self._shell.hear_order(target, head, order=order)
+                self._shell.handle_order_answer(target, head, order=order)
 
     def _take_targets(self, targets: tuple[Target, ...]) -> None:
         before = self._targets
--- a/src/azureswitch/gateway/_shell.py
+++ b/src/azureswitch/gateway/_shell.py
@@ -216,7 +216,7 @@
         """Send nothing new to a target that leaves."""
         self.dispatch(TargetLeaving(now=self.now, target=target.name, started=target.started))
 
-    def hear_order(self, target: Target, head: HttpHead, *, order: str) -> None:
+    def handle_order_answer(self, target: Target, head: HttpHead, *, order: str) -> None:
         """Take what a target says of itself in the answer to an order."""
         self._hearing.hear(target, self._dialect.judge(head), id=order)
 
--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -281,7 +281,7 @@
         self._permits.answer(effect)
 
     def _order_answered(self, address: str, ticket: str, head: HttpHead) -> None:
-        self._gateway.hear_order(address=address, order=ticket, head=head)
+        self._gateway.handle_order_answer(address=address, order=ticket, head=head)
 
     def _recall(self, reports: tuple[CrashReport, ...]) -> None:
         shell = self._gateway.shell
