--- a/src/azureswitch/gateway/_front.py
+++ b/src/azureswitch/gateway/_front.py
@@ -70,13 +70,13 @@
 
     def adopt(self, prepared: Prepared) -> bool:
         """Serve by a configuration and return True, unless the same or a later one is in force."""
-        if not self.is_news(prepared.deployment):
+        if not self.is_newer(prepared.deployment):
             return False
         self._deployment = prepared.deployment
         self._routes = prepared.routes
         return True
 
-    def is_news(self, deployment: Deployment) -> bool:
+    def is_newer(self, deployment: Deployment) -> bool:
         """Return whether a configuration is later than the one in force."""
         return self._deployment is None or deployment.version > self._deployment.version
 
--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -321,9 +321,9 @@
         """Serve by a configuration, unless the same or a later one is in force."""
         self.put_in_force(finish(prepare(deployment)))
 
-    def is_news(self, deployment: Deployment) -> bool:
+    def is_newer(self, deployment: Deployment) -> bool:
         """Return whether a configuration is later than the one in force."""
-        return self._front.is_news(deployment)
+        return self._front.is_newer(deployment)
 
     def put_in_force(
         self, prepared: Prepared, *, targets: tuple[Target, ...] | None = None
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -93,7 +93,7 @@
                     self._foreign.see(CONFIGURATION_KIND, (_unreadable(item, error),))
                     continue
                 self._foreign.see(CONFIGURATION_KIND, ())
-                if self._gateway.is_news(deployment):
+                if self._gateway.is_newer(deployment):
                     prepared = yield from prepare(deployment)
                     yield from self._put_in_force(prepared)
         finally:
