--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -319,13 +319,13 @@
 
     def adopt(self, deployment: Deployment) -> None:
         """Serve by a configuration, unless the same or a later one is in force."""
-        self.put_in_force(finish(prepare(deployment)))
+        self.activate(finish(prepare(deployment)))
 
     def is_newer(self, deployment: Deployment) -> bool:
         """Return whether a configuration is later than the one in force."""
         return self._front.is_newer(deployment)
 
-    def put_in_force(
+    def activate(
         self, prepared: Prepared, *, targets: tuple[Target, ...] | None = None
     ) -> None:
         """Serve by a configuration, unless the same or a later one is in force.
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -108,7 +108,7 @@
             found = yield from self._reader.read_steps(listed, deployment=prepared.deployment)
             yield len(listed) + len(prepared.customers) > TURN_ENTRIES
         self._foreign.see(TARGETS_KIND, found.foreign)
-        self._gateway.put_in_force(prepared, targets=found.targets)
+        self._gateway.activate(prepared, targets=found.targets)
         self._tell_configured()
 
     def _tell_configured(self) -> None:
--- a/tests/platform/test_adoption.py
+++ b/tests/platform/test_adoption.py
@@ -67,13 +67,13 @@
         self.metrics = Metrics()
         self.configured = 0
         self.adopted: list[int] = []
-        put = gateway.put_in_force
+        put = gateway.activate
 
         def note(prepared, *, targets):
             put(prepared, targets=targets)
             self.adopted.append(self.version)
 
-        gateway.put_in_force = note  # type: ignore[method-assign]
+        gateway.activate = note  # type: ignore[method-assign]
         self.adoption = Adoption(
             gateway=gateway,
             reader=TargetReader(),
