--- a/src/azureswitch/gateway/_ports.py
+++ b/src/azureswitch/gateway/_ports.py
@@ -34,7 +34,7 @@
     def sending(self, request: HttpRequest, sending: AttemptInfo) -> Headers:
         """Return the headers with which an attempt is sent to a target."""
 
-    def judge(self, head: HttpHead) -> AnswerInfo:
+    def decode_answer(self, head: HttpHead) -> AnswerInfo:
         """Decode the head of a target's answer."""
 
     def answer(self, head: HttpHead) -> Headers:
--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -212,7 +212,7 @@
         )
         with patience:
             async with stream as answer:
-                verdict = self._dialect.judge(answer.head)
+                verdict = self._dialect.decode_answer(answer.head)
                 # Told before the answer goes on.
                 self._hearing.hear_answer(first, verdict, request=record.arrival.id, sent=sent)
                 return await self._pass_on(record, effect, answer, verdict, patience)
--- a/src/azureswitch/gateway/_shell.py
+++ b/src/azureswitch/gateway/_shell.py
@@ -218,7 +218,7 @@
 
     def handle_order_answer(self, target: Target, head: HttpHead, *, order: str) -> None:
         """Take what a target says of itself in the answer to an order."""
-        self._hearing.hear(target, self._dialect.judge(head), id=order)
+        self._hearing.hear(target, self._dialect.decode_answer(head), id=order)
 
     def begin_shutdown(self, *, until: float) -> None:
         """Begin nothing more that cannot end by a moment of the monotonic clock."""
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -76,7 +76,7 @@
             added.append((names.HELPERS, helpers))
         return (*passed, *added)
 
-    def judge(self, head: HttpHead) -> AnswerInfo:
+    def decode_answer(self, head: HttpHead) -> AnswerInfo:
         """Decode the head of a target's answer."""
         promised = head.header(name=names.NOT_RUN) is not None
         misdirected = head.status == MISDIRECTED
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -292,12 +292,12 @@
     def test_fault_of_ours(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """A fault of this program ends a request at once, and not at its deadline."""
 
-        def judge(self: PlatformDialect, head: HttpHead) -> AnswerInfo:
+        def decode_answer(self: PlatformDialect, head: HttpHead) -> AnswerInfo:
             raise RuntimeError
 
         async def scenario() -> None:
             async with serve() as bed:
-                monkeypatch.setattr(PlatformDialect, "judge", judge)
+                monkeypatch.setattr(PlatformDialect, "judge", decode_answer)
                 begun = asyncio.get_running_loop().time()
                 answer = await bed.ask("/ask/", headers=model_headers())
                 assert answer.head.status == HTTPStatus.BAD_GATEWAY
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -282,7 +282,7 @@
     )
     def test_judge(self, status: int, headers: Headers, verdict: AnswerInfo) -> None:
         """A target's promise is read from its header or status, and from nothing else."""
-        assert PlatformDialect().judge(HttpHead(status=status, headers=headers)) == verdict
+        assert PlatformDialect().decode_answer(HttpHead(status=status, headers=headers)) == verdict
 
     @pytest.mark.parametrize(
         ("error", "after"), [(NoTargetError(seconds=0.25), "0.250"), (UnknownPathError(), None)]
