--- a/tests/gateway/fixtures.py
+++ b/tests/gateway/fixtures.py
@@ -208,7 +208,7 @@
         exchange.finish()
 
 
-class KeptLog(Log):
+class RecordingLog(Log):
     """Keeps what is logged."""
 
     def __init__(self) -> None:
--- a/tests/gateway/test_deadline.py
+++ b/tests/gateway/test_deadline.py
@@ -7,7 +7,7 @@
 from azureswitch.exceptions import DeadlineExceededError
 from azureswitch.gateway import Gateway, RouteKind, _shell
 from azureswitch.gateway._log import RequestFailed
-from tests.gateway.fixtures import PATIENCE, Act, KeptLog, deployment, route, serve
+from tests.gateway.fixtures import PATIENCE, Act, RecordingLog, deployment, route, serve
 
 SECONDS = 0.5
 """What the route permits."""
@@ -31,7 +31,7 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(_shell, "TICK", tick)
-        log = KeptLog()
+        log = RecordingLog()
         async with serve(acts=(Act.HANG,) * COUNT, configure=configure, log=log) as bed:
             asking = []
             for number in range(COUNT):
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -12,7 +12,7 @@
 from tests.gateway.fixtures import (
     Act,
     FakeReservations,
-    KeptLog,
+    RecordingLog,
     listed,
     model_headers,
     serve,
@@ -35,7 +35,7 @@
         """The log shows those that started again, and a late entry does not come into force."""
 
         async def scenario() -> list[TargetsChanged]:
-            log = KeptLog()
+            log = RecordingLog()
             async with serve(count=1, log=log) as bed:
                 entry = listed(bed.targets[1], "s0", streams=False)
                 bed.gateway.set_targets((replace(entry, started=before),))
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -14,7 +14,7 @@
 from azureswitch.gateway import Neighbours
 from azureswitch.logs import Entry
 from azureswitch.platform import PlatformDialect
-from tests.gateway.fixtures import PATIENCE, Act, Bed, KeptLog, model_headers, serve, usual_headers
+from tests.gateway.fixtures import PATIENCE, Act, Bed, RecordingLog, model_headers, serve, usual_headers
 from tests.waiting import reach
 
 GRACE = 2.0
@@ -100,7 +100,7 @@
         """The answer says truly whether it ran; nothing is sent again; the log has its end."""
 
         async def scenario() -> None:
-            log = KeptLog()
+            log = RecordingLog()
             async with serve(acts=case.acts, grace=GRACE, log=log) as bed:
                 bed.fleet.events, bed.fleet.pause = 1_000, 0.05
                 asking = asyncio.create_task(outcome(bed, case.path))
@@ -173,7 +173,7 @@
         """What has no end as the process ends is named in the log."""
 
         async def scenario() -> None:
-            log = KeptLog()
+            log = RecordingLog()
             async with serve(acts=(Act.HANG,), log=log) as bed:
                 asking = asyncio.create_task(outcome(bed, "/read/"))
                 await reach(lambda: bed.fleet.arrivals > 0)
@@ -187,7 +187,7 @@
         """Where a step of the stop itself fails, what is open is decided all the same."""
 
         async def scenario() -> None:
-            log = KeptLog()
+            log = RecordingLog()
             async with serve(acts=(Act.HANG,), grace=GRACE, log=log) as bed:
                 asking = asyncio.create_task(outcome(bed, "/read/"))
                 await reach(lambda: bed.fleet.arrivals > 0)
@@ -238,7 +238,7 @@
     return f"GET /read/ HTTP/1.1\r\n{lines}\r\n".encode()
 
 
-class BrokenLog(KeptLog):
+class BrokenLog(RecordingLog):
     """A log that cannot write how one request ended."""
 
     def write(self, entry: Entry) -> None:
