--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -19,7 +19,7 @@
     TargetRefusedError,
 )
 from azureswitch.gateway._events import EventSplitter, StreamEvent
-from azureswitch.gateway._hearing import Hearing
+from azureswitch.gateway._notices import Hearing
 from azureswitch.gateway._log import AttemptOver, AttemptSent, TargetSilent
 from azureswitch.gateway._model import Helper, RouteKind, AttemptInfo, AnswerInfo
 from azureswitch.gateway._patience import Patience
--- a/src/azureswitch/gateway/_shell.py
+++ b/src/azureswitch/gateway/_shell.py
@@ -11,7 +11,7 @@
 from azureswitch.core import CallId, Effect, TargetName
 from azureswitch.exceptions import AzureswitchError
 from azureswitch.gateway._failures import respond_failure
-from azureswitch.gateway._hearing import Hearing
+from azureswitch.gateway._notices import Hearing
 from azureswitch.gateway._log import (
     LOGGED_DIGITS,
     HostSuspended,
