--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -22,7 +22,7 @@
 from azureswitch.gateway._notices import Hearing
 from azureswitch.gateway._log import AttemptOver, AttemptSent, TargetSilent
 from azureswitch.gateway._model import Helper, RouteKind, AttemptInfo, AnswerInfo
-from azureswitch.gateway._patience import Patience
+from azureswitch.gateway._silence import Patience
 from azureswitch.gateway._ports import Dialect
 from azureswitch.gateway._records import CallRecord
 from azureswitch.gateway._tickets import Ticket, Tickets
--- a/tests/gateway/test_patience.py
+++ b/tests/gateway/test_patience.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from azureswitch.gateway._patience import STALL_GRACE, STALL_SECONDS, Patience
+from azureswitch.gateway._silence import STALL_GRACE, STALL_SECONDS, Patience
 
 SHORT = 0.05
 
