--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -13,7 +13,7 @@
 from azureswitch.clock import elapsed
 from azureswitch.coordination.membership import Member
 from azureswitch.core import Effect, TargetName
-from azureswitch.gateway._front import Front
+from azureswitch.gateway._handler import Front
 from azureswitch.gateway._log import (
     ConfigurationAdopted,
     GraceOver,
