--- a/src/azureswitch/gateway/__init__.py
+++ b/src/azureswitch/gateway/__init__.py
@@ -3,15 +3,15 @@
 from azureswitch.gateway._gateway import Gateway
 from azureswitch.gateway._log import PeersKnown
 from azureswitch.gateway._model import (
-    RequestInfo,
+    AdvertisedLimit,
+    AnswerInfo,
+    AttemptInfo,
     Deployment,
     Helper,
-    AdvertisedLimit,
+    RequestInfo,
     Route,
     RouteKind,
-    AttemptInfo,
     Share,
-    AnswerInfo,
 )
 from azureswitch.gateway._ports import Dialect, Reservations
 from azureswitch.gateway._prepared import Prepared, prepare
--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -325,9 +325,7 @@
         """Return whether a configuration is later than the one in force."""
         return self._front.is_newer(deployment)
 
-    def activate(
-        self, prepared: Prepared, *, targets: tuple[Target, ...] | None = None
-    ) -> None:
+    def activate(self, prepared: Prepared, *, targets: tuple[Target, ...] | None = None) -> None:
         """Serve by a configuration, unless the same or a later one is in force.
 
         Args:
--- a/src/azureswitch/gateway/_handler.py
+++ b/src/azureswitch/gateway/_handler.py
@@ -18,7 +18,7 @@
     RequestRefused,
     RequestUnserved,
 )
-from azureswitch.gateway._model import RequestInfo, Deployment, Route, RouteKind
+from azureswitch.gateway._model import Deployment, RequestInfo, Route, RouteKind
 from azureswitch.gateway._ports import Dialect
 from azureswitch.gateway._prepared import Prepared
 from azureswitch.gateway._records import CallRecord
--- a/src/azureswitch/gateway/_notices.py
+++ b/src/azureswitch/gateway/_notices.py
@@ -33,7 +33,9 @@
         self._log = log
         self._clock = clock
 
-    def hear_answer(self, target: Target, verdict: AnswerInfo, *, request: str, sent: float) -> None:
+    def hear_answer(
+        self, target: Target, verdict: AnswerInfo, *, request: str, sent: float
+    ) -> None:
         """Take the answer to a request that was sent at some time."""
         self.hear(target, verdict, id=request)
         # A refusal may come from what stands before the target's program.
--- a/src/azureswitch/gateway/_ports.py
+++ b/src/azureswitch/gateway/_ports.py
@@ -4,7 +4,7 @@
 
 from azureswitch.client import Headers, HttpHead
 from azureswitch.exceptions import AzureswitchError
-from azureswitch.gateway._model import RequestInfo, AttemptInfo, AnswerInfo
+from azureswitch.gateway._model import AnswerInfo, AttemptInfo, RequestInfo
 from azureswitch.server import HttpRequest
 from azureswitch.serving import (
     AnnounceQuarantine,
--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -19,12 +19,12 @@
     TargetRefusedError,
 )
 from azureswitch.gateway._events import EventSplitter, StreamEvent
-from azureswitch.gateway._notices import Hearing
 from azureswitch.gateway._log import AttemptOver, AttemptSent, TargetSilent
-from azureswitch.gateway._model import Helper, RouteKind, AttemptInfo, AnswerInfo
-from azureswitch.gateway._silence import Patience
+from azureswitch.gateway._model import AnswerInfo, AttemptInfo, Helper, RouteKind
+from azureswitch.gateway._notices import Hearing
 from azureswitch.gateway._ports import Dialect
 from azureswitch.gateway._records import CallRecord
+from azureswitch.gateway._silence import Patience
 from azureswitch.gateway._tickets import Ticket, Tickets
 from azureswitch.inventory import Target
 from azureswitch.logs import Log
--- a/src/azureswitch/gateway/_shell.py
+++ b/src/azureswitch/gateway/_shell.py
@@ -11,7 +11,6 @@
 from azureswitch.core import CallId, Effect, TargetName
 from azureswitch.exceptions import AzureswitchError
 from azureswitch.gateway._failures import respond_failure
-from azureswitch.gateway._notices import Hearing
 from azureswitch.gateway._log import (
     LOGGED_DIGITS,
     HostSuspended,
@@ -24,6 +23,7 @@
     RequestQuarantined,
     TargetLimited,
 )
+from azureswitch.gateway._notices import Hearing
 from azureswitch.gateway._ports import Dialect, Published
 from azureswitch.gateway._records import CallRecord
 from azureswitch.gateway._relay import Relay
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -9,7 +9,7 @@
 from azureswitch.client import HOP_BY_HOP, Headers, HttpHead
 from azureswitch.core import CallId
 from azureswitch.exceptions import AzureswitchError, InvalidHeaderError
-from azureswitch.gateway import RequestInfo, Helper, AdvertisedLimit, AttemptInfo, AnswerInfo
+from azureswitch.gateway import AdvertisedLimit, AnswerInfo, AttemptInfo, Helper, RequestInfo
 from azureswitch.platform import _headers as names
 from azureswitch.server import HttpRequest
 
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -297,7 +297,7 @@
 
         async def scenario() -> None:
             async with serve() as bed:
-                monkeypatch.setattr(PlatformDialect, "judge", decode_answer)
+                monkeypatch.setattr(PlatformDialect, "decode_answer", decode_answer)
                 begun = asyncio.get_running_loop().time()
                 answer = await bed.ask("/ask/", headers=model_headers())
                 assert answer.head.status == HTTPStatus.BAD_GATEWAY
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -14,7 +14,15 @@
 from azureswitch.gateway import Neighbours
 from azureswitch.logs import Entry
 from azureswitch.platform import PlatformDialect
-from tests.gateway.fixtures import PATIENCE, Act, Bed, RecordingLog, model_headers, serve, usual_headers
+from tests.gateway.fixtures import (
+    PATIENCE,
+    Act,
+    Bed,
+    RecordingLog,
+    model_headers,
+    serve,
+    usual_headers,
+)
 from tests.waiting import reach
 
 GRACE = 2.0
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -78,7 +78,9 @@
         async def scenario() -> None:
             async with serve() as bed:
                 head = HttpHead(status=200, headers=(header,))
-                bed.gateway.handle_order_answer(address=bed.targets[3].address, order="t", head=head)
+                bed.gateway.handle_order_answer(
+                    address=bed.targets[3].address, order="t", head=head
+                )
                 assert bed.gateway.shell.limits == limits
                 assert "s0" not in await reached(bed, READ)
 
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,7 +14,14 @@
     PlatformSettingsError,
     UnknownPathError,
 )
-from azureswitch.gateway import RequestInfo, Helper, AdvertisedLimit, RouteKind, AttemptInfo, AnswerInfo
+from azureswitch.gateway import (
+    AdvertisedLimit,
+    AnswerInfo,
+    AttemptInfo,
+    Helper,
+    RequestInfo,
+    RouteKind,
+)
 from azureswitch.inventory import TargetRole
 from azureswitch.platform import (
     PlatformDialect,
--- a/tests/server/test_reasons.py
+++ b/tests/server/test_reasons.py
@@ -7,7 +7,7 @@
 import pytest
 
 from azureswitch.server import CallerLimits, CloseReason, Exchange
-from tests.gateway.fixtures import Act, KeptLog, usual_headers
+from tests.gateway.fixtures import Act, RecordingLog, usual_headers
 from tests.gateway.fixtures import serve as serve_gateway
 from tests.server.fixtures import Bed, Caller, Script, abort_after, never, request, run, serve
 from tests.waiting import reach
@@ -144,7 +144,7 @@
         """A request that was not begun has a line with its id, and its connection a count."""
 
         async def scenario() -> None:
-            log = KeptLog()
+            log = RecordingLog()
             async with serve_gateway(acts=[Act.HANG], log=log) as bed:
                 port = int(bed.gateway.callers_address.rpartition(":")[2])
                 _, writer = await asyncio.open_connection("127.0.0.1", port)
