--- a/models/stopping.py
+++ b/models/stopping.py
@@ -34,7 +34,7 @@
 """Ticks, of a second each, from the signal until a process is killed."""
 
 LOOKS = 20
-"""Looks of a stopping process in a tick; `STOP_CHECK` of the gateway is 0.05 s."""
+"""Looks of a stopping process in a tick; `STOP_CHECK_SECONDS` of the gateway is 0.05 s."""
 
 LOADING_LEAST = 1
 """Ticks from the end of a process until the next one listens; 1.0 to 1.2 s were measured."""
--- a/src/azureswitch/gateway/__init__.py
+++ b/src/azureswitch/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Passes callers' requests on to targets and their answers back, as they are."""
+"""Forwards callers' requests to targets and relays the answers unchanged."""
 
 from azureswitch.gateway._gateway import Gateway
 from azureswitch.gateway._log import PeersKnown
--- a/src/azureswitch/gateway/_events.py
+++ b/src/azureswitch/gateway/_events.py
@@ -2,19 +2,19 @@
 
 from msgspec import Struct
 
-END = b"\n\n"
-"""What ends an event."""
+EVENT_END = b"\n\n"
+"""The terminator of an event."""
 
 ID_FIELD = b"id:"
-"""How the line begins that holds an event's id."""
+"""The prefix of the line that holds an event's id."""
 
 
 class StreamEvent(Struct, frozen=True, kw_only=True):
     """One whole event.
 
     Attributes:
-        id: Its id, or None where it has none or one that is no number.
-        data: Its bytes, the blank line included.
+        id: The id, or None if it is missing or not a number.
+        data: The bytes, including the terminating blank line.
     """
 
     id: int | None
@@ -22,20 +22,20 @@
 
 
 class EventSplitter:
-    """Gives out events once they are whole, so that a torn one is never passed on."""
+    """Buffers bytes until an event is complete, so that a partial one is never relayed."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def torn(self) -> bool:
-        """Whether a part of an event has arrived whose end has not."""
-        return bool(self._rest)
+        """Whether a partial event is buffered."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that became whole with some more bytes."""
-        *whole, self._rest = (self._rest + data).split(END)
-        return [StreamEvent(id=_id_of(event), data=event + END) for event in whole]
+        """Add bytes and return the events that they complete."""
+        *whole, self._buffer = (self._buffer + data).split(EVENT_END)
+        return [StreamEvent(id=_id_of(event), data=event + EVENT_END) for event in whole]
 
 
 def _id_of(event: bytes) -> int | None:
--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process: its parts, and how it starts and stops."""
+"""One gateway process: its components, startup and graceful stop."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -13,7 +13,7 @@
 from azureswitch.clock import elapsed
 from azureswitch.coordination.membership import Member
 from azureswitch.core import Effect, TargetName
-from azureswitch.gateway._handler import Front
+from azureswitch.gateway._handler import RequestHandler
 from azureswitch.gateway._log import (
     ConfigurationAdopted,
     GraceOver,
@@ -70,35 +70,35 @@
 )
 from azureswitch.tasks import keep_running
 
-DIGEST_PERIOD = 0.8
-"""Seconds between two regular digests, of which two in a row may get lost; news is told at once."""
+DIGEST_PERIOD_SECONDS = 0.8
+"""Seconds between periodic digests; two in a row may be lost.  Changes are sent immediately."""
 
-DEADLINE_MARGIN = 0.02
-"""Seconds before its deadline at which a request is ended, as a busy loop is late by half of it."""
+DEADLINE_MARGIN_SECONDS = 0.02
+"""Seconds before its deadline at which a request is ended; a busy loop is late by half of this."""
 
 METRICS_PATH = "/metrics"
 
 RELEASE_SECONDS = 0.05
-"""Seconds for which a process that ends tells engines that memory is free."""
+"""Timeout in seconds for releasing reserved engine memory before the process exits."""
 
-STOP_CHECK = 0.05
-"""Seconds between two looks which step of a stop is due."""
+STOP_CHECK_SECONDS = 0.05
+"""Seconds between two evaluations of the stop sequence."""
 
 
 class Gateway:
-    """Serves callers as one of many alike processes.
+    """Serves callers; a fleet runs many identical gateways.
 
     Args:
-        settings: What it is told at its start.
-        dialect: The headers towards callers and targets.
-        reservations: How engines set memory aside.
-        publish: Tells the peers what the reducer asks for.
-        metrics: Counts and measures.
-        log: Takes what is decided.
-        seed: Seeds every random choice.
-        neighbours: Returns what the other hosts of its failure domain do.
-        members: Returns the hosts known now, for operators.
-        foreign: Returns the entries of the store that are foreign now, for operators.
+        settings: The startup settings.
+        dialect: Encodes and decodes the headers exchanged with callers and targets.
+        reservations: Reserves memory on engines.
+        publish: Sends the reducer's messages to the peers.
+        metrics: The metrics registry.
+        log: Receives the log entries.
+        seed: The seed of all random choices.
+        neighbours: Returns the state of the other hosts in its failure domain.
+        members: Returns the currently known hosts, for the status page.
+        foreign: Returns the current foreign entries of the store, for the status page.
         clock: Returns seconds of the monotonic clock.
     """
 
@@ -133,9 +133,9 @@
             myself=HostSelf(name=settings.host, place=settings.place, started=started),
             seed=seed,
             retries=retries,
-            digest_period=DIGEST_PERIOD,
+            digest_period=DIGEST_PERIOD_SECONDS,
             lean=True,
-            deadline_margin=DEADLINE_MARGIN,
+            deadline_margin=DEADLINE_MARGIN_SECONDS,
             full_hosts=settings.full_hosts,
             fleet_hosts=settings.hosts,
         )
@@ -149,10 +149,10 @@
             log=log,
             clock=clock,
         )
-        self._front = Front(
+        self._handler = RequestHandler(
             shell=self._shell, dialect=dialect, log=log, metrics=metrics, random=Random(seed)
         )
-        self._callers = HttpServer(handler=self._front, closed=self._front.closed)
+        self._callers = HttpServer(handler=self._handler, closed=self._handler.closed)
         self._platform = HttpServer(
             handler=ReadinessPage(ready=lambda: self.ready, dialect=dialect)
         )
@@ -163,7 +163,7 @@
         self._pages = HttpServer(handler=PathPages(pages=pages, dialect=dialect))
         self._targets: Mapping[TargetName, Target] = {}
         self._customers: tuple[Customer, ...] = ()
-        self._watch(metrics)
+        self._register_gauges(metrics)
         self._revision = 0
         self._leaving = False
         self._ticks: asyncio.Task[None] | None = None
@@ -176,16 +176,16 @@
     @property
     def deployment(self) -> Deployment | None:
         """The configuration in force, or None before the first."""
-        return self._front.deployment
+        return self._handler.deployment
 
     @property
     def configured(self) -> bool:
-        """Whether there is a configuration, and a target to send requests to."""
-        return bool(self._front.deployment and self._targets)
+        """Whether a configuration is in force and at least one target is listed."""
+        return bool(self._handler.deployment and self._targets)
 
     @property
     def ready(self) -> bool:
-        """Whether this process takes new connections."""
+        """Whether this process accepts new connections."""
         return self.configured and not self._leaving
 
     @property
@@ -195,20 +195,20 @@
 
     @property
     def readiness_address(self) -> str:
-        """``IP:PORT`` on which it says whether it takes new connections."""
+        """``IP:PORT`` of the readiness endpoint."""
         return self._platform.address
 
     @property
     def pages_address(self) -> str:
-        """``IP:PORT`` on which metrics and status are read, known once it listens."""
+        """``IP:PORT`` of the metrics and status pages, known once it listens."""
         return self._pages.address
 
     @property
     def status(self) -> HostStatus:
-        """What this host knows of the fleet.
+        """The state of the fleet as this host knows it.
 
-        The platform's configuration is no revision that the operators' program accepted, so that
-        none is told.
+        The revision is always 0: the platform's configuration is not a revision that was accepted
+        by the operators' program.
         """
         return HostStatus(
             host=self._settings.host,
@@ -229,17 +229,18 @@
         )
 
     async def start(self, *, callers: socket | None = None) -> None:
-        """Listen.
+        """Start listening on all addresses.
 
         Args:
-            callers: A socket that listens for callers already, in place of the settings' address.
+            callers: A socket already listening for callers, used instead of the configured address.
 
         Raises:
             OSError: An address cannot be used.
         """
         await self._platform.start(address=self._settings.readiness)
         await self._pages.start(address=self._settings.metrics)
-        # Last: callers who connected would be cut off where one of the others cannot be bound.
+        # Bound last: if another address cannot be bound, no caller has connected that would be cut
+        # off.
         if callers is None:
             await self._callers.start(address=self._settings.callers)
         else:
@@ -250,35 +251,35 @@
         self._log.write(Started(callers=self.callers_address, readiness=self.readiness_address))
 
     async def stop(self, *, told: float | None = None) -> None:
-        """Let others take over, answer what is here, and return within the time of grace.
+        """Stop gracefully: drain the open requests and return within the grace period.
 
         Args:
-            told: Since when that time counts, in seconds of the monotonic clock; None for now.
+            told: Start of the grace period, in seconds of the monotonic clock; None for now.
         """
         stop = begin_stop(now=self._shell.now, grace=self._settings.grace, told=told)
         self._leaving = True
-        self._front.close()
+        self._handler.close()
         self._shell.begin_shutdown(until=stop.end)
         self._log.write(Leaving(open_requests=self._shell.open_calls))
         try:
-            await self._follow(stop)
+            await self._run_stop(stop)
         except Exception:
-            logging.exception("gateway: A step of the stop failed; what is open is decided now.")
+            logging.exception("gateway: A step of the stop failed; ending all open requests now.")
             await self._shell.end()
         await self._tickets.stop(timeout=RELEASE_SECONDS)
         self._shell.report_cut_off()
         self._log.write(Stopped(seconds=round(self._shell.now - stop.told, 3)))
         self._end(self._platform, self._pages)
 
-    async def _follow(self, stop: Stopping) -> None:
-        """Take the steps of a stop as they are due, until the process may end."""
+    async def _run_stop(self, stop: Stopping) -> None:
+        """Run the stop sequence until the process may exit."""
         while stop.phase is not Phase.OVER:
-            for effect in advance(stop, self._look()):
-                await self._take_step(effect)
-            await asyncio.sleep(STOP_CHECK)
+            for effect in advance(stop, self._observe()):
+                await self._run_step(effect)
+            await asyncio.sleep(STOP_CHECK_SECONDS)
 
-    def _look(self) -> StopObserved:
-        """Return what this process sees of itself and of its neighbours as it stops."""
+    def _observe(self) -> StopObserved:
+        """Return the observed state of this process and its neighbours."""
         return StopObserved(
             now=self._shell.now,
             connections=self._callers.connections,
@@ -287,30 +288,30 @@
         )
 
     @singledispatchmethod
-    async def _take_step(self, effect: Effect) -> None:
+    async def _run_step(self, effect: Effect) -> None:
         raise TypeError(effect)
 
-    @_take_step.register
+    @_run_step.register
     async def _(self, effect: CloseListener) -> None:
         await self._callers.finish_listening()
         self._log.write(ListenerClosed(open_requests=self._shell.open_calls))
 
-    @_take_step.register
+    @_run_step.register
     async def _(self, effect: CloseIdle) -> None:
         self._callers.close_idle()
 
-    @_take_step.register
+    @_run_step.register
     async def _(self, effect: EndRequests) -> None:
         self._log.write(GraceOver(open_requests=self._shell.open_calls))
-        # Before the process goes: what the end of the event loop calls off gets no answer.
+        # Must precede the process exit: requests cancelled with the event loop get no answer.
         await self._shell.end()
 
     def abort(self) -> None:
-        """End at once, whatever is open."""
+        """Stop immediately and abort all open connections."""
         self._end(self._callers, self._platform, self._pages)
 
     def _end(self, *servers: HttpServer) -> None:
-        """Close what servers have open, and let no more time pass for requests."""
+        """Abort all connections of the servers and stop the periodic ticks."""
         for server in servers:
             server.stop_listening()
             server.abort()
@@ -318,22 +319,22 @@
             self._ticks.cancel()
 
     def adopt(self, deployment: Deployment) -> None:
-        """Serve by a configuration, unless the same or a later one is in force."""
+        """Prepare and activate a configuration, unless the same or a later one is in force."""
         self.activate(finish(prepare(deployment)))
 
     def is_newer(self, deployment: Deployment) -> bool:
-        """Return whether a configuration is later than the one in force."""
-        return self._front.is_newer(deployment)
+        """Return whether a configuration is newer than the one in force."""
+        return self._handler.is_newer(deployment)
 
     def activate(self, prepared: Prepared, *, targets: tuple[Target, ...] | None = None) -> None:
-        """Serve by a configuration, unless the same or a later one is in force.
+        """Activate a configuration, unless the same or a later one is in force.
 
         Args:
             prepared: The configuration.
-            targets: The targets as it names them, or None for those of now.
+            targets: The targets that it lists, or None to keep the current ones.
         """
-        before = self._front.deployment
-        if not self._front.adopt(prepared):
+        before = self._handler.deployment
+        if not self._handler.adopt(prepared):
             return
         deployment = prepared.deployment
         self._customers = prepared.customers
@@ -347,36 +348,36 @@
             )
         )
         if targets is not None:
-            self._take_targets(targets)
-        self._revise()
+            self._replace_targets(targets)
+        self._dispatch_snapshot()
 
     def set_targets(self, targets: tuple[Target, ...]) -> None:
-        """Send requests to these targets alone from now on."""
-        self._take_targets(targets)
-        self._revise()
+        """Replace the list of targets that requests may be sent to."""
+        self._replace_targets(targets)
+        self._dispatch_snapshot()
 
     def handle_order_answer(self, *, address: str, order: str, head: HttpHead) -> None:
-        """Take what the target at an address says of itself in the answer to an order."""
+        """Apply the target state (leaving, rate limit) in the head of an answer to an order."""
         for target in self._targets.values():
             if target.address == address:
                 self._shell.handle_order_answer(target, head, order=order)
 
-    def _take_targets(self, targets: tuple[Target, ...]) -> None:
+    def _replace_targets(self, targets: tuple[Target, ...]) -> None:
         before = self._targets
         self._targets = {target.name: latest(before.get(target.name), target) for target in targets}
         if before != self._targets:
             self._log.write(_difference(before, self._targets))
         for name, target in self._targets.items():
             if target.role is TargetRole.DRAINING and before.get(name) != target:
-                # Kept by the reducer: an older list may show it as serving again.
+                # The reducer remembers this: an older list may show the target as serving again.
                 self._shell.note_leaving(target)
 
     def _started(self, name: TargetName) -> int:
-        """Return the start known of a target, or zero where it does not say or is not listed."""
+        """Return the start of a target, or zero if it is unknown or the target is not listed."""
         target = self._targets.get(name)
         return 0 if target is None else target.started
 
-    def _watch(self, metrics: Metrics) -> None:
+    def _register_gauges(self, metrics: Metrics) -> None:
         metrics.watch(
             name="quarantined_requests",
             help="Requests that are sent to no target, since targets crashed under them.",
@@ -390,7 +391,7 @@
         metrics.watch(
             name="configuration_version",
             help="The configuration in force; zero for none.",
-            value=lambda: self._front.deployment.version if self._front.deployment else 0,
+            value=lambda: self._handler.deployment.version if self._handler.deployment else 0,
         )
         metrics.watch(
             name="targets_serving",
@@ -423,9 +424,9 @@
             value=lambda: self._log.left_out,
         )
 
-    def _revise(self) -> None:
-        """Hand the reducer the configuration and the targets of this moment."""
-        deployment = self._front.deployment
+    def _dispatch_snapshot(self) -> None:
+        """Dispatch a snapshot of the current configuration and targets to the reducer."""
+        deployment = self._handler.deployment
         if deployment is None:
             return
         self._revision += 1
--- a/src/azureswitch/gateway/_handler.py
+++ b/src/azureswitch/gateway/_handler.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds their route and customer, and hands them to the shell."""
+"""Handles callers' requests: finds route and customer, and submits them to the shell."""
 
 from random import Random
 
@@ -30,15 +30,15 @@
 from azureswitch.serving import Call
 
 
-class Front:
-    """Serves callers by the configuration in force.
+class RequestHandler:
+    """Handles callers' requests according to the configuration in force.
 
     Args:
         shell: Runs the requests.
-        dialect: The headers towards callers.
-        log: Takes what is decided.
+        dialect: Encodes and decodes the headers exchanged with callers.
+        log: Receives the log entries.
         metrics: Counts refusals.
-        random: The source of the choice among a route's services.
+        random: Picks among a route's services.
     """
 
     def __init__(
@@ -60,16 +60,16 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """What a caller's connection may ask now."""
+        """The limits on callers' connections."""
         return self._deployment.limits if self._deployment else CallerLimits()
 
     @property
     def closing(self) -> bool:
-        """Whether callers are told to use another connection for their next request."""
+        """Whether answers ask callers to close the connection."""
         return self._closing
 
     def adopt(self, prepared: Prepared) -> bool:
-        """Serve by a configuration and return True, unless the same or a later one is in force."""
+        """Activate a configuration and return True, or False if it is not newer."""
         if not self.is_newer(prepared.deployment):
             return False
         self._deployment = prepared.deployment
@@ -77,15 +77,15 @@
         return True
 
     def is_newer(self, deployment: Deployment) -> bool:
-        """Return whether a configuration is later than the one in force."""
+        """Return whether a configuration is newer than the one in force."""
         return self._deployment is None or deployment.version > self._deployment.version
 
     def close(self) -> None:
-        """Tell callers from now on to use another connection for their next request."""
+        """Ask callers to close their connections from now on."""
         self._closing = True
 
     def handle(self, exchange: Exchange) -> None:
-        """Take a request."""
+        """Admit a request or refuse it."""
         try:
             record = self._admit(exchange)
         except AzureswitchError as error:
@@ -96,7 +96,7 @@
             self.refuse(exchange, IdempotencyInProgressError())
 
     def refuse(self, exchange: Exchange, error: AzureswitchError) -> None:
-        """Answer a request that is not run."""
+        """Refuse a request with an error, and log and count it."""
         respond_failure(exchange, error, dialect=self._dialect)
         refused = RequestRefused(
             id=self._dialect.id_of(exchange.request),
@@ -112,9 +112,9 @@
         )
 
     def closed(self, closed: ConnectionClosed) -> None:
-        """Count a connection that has ended, and log the requests that it takes with it.
+        """Count a closed connection, and log the requests that were read and never handled.
 
-        What was handed over is in the shell's log, which knows whether it ran.
+        The shell logs submitted requests, as it knows whether they ran.
         """
         for request in closed.unserved:
             self._log.write(
@@ -149,7 +149,7 @@
             model=arrival.model,
             prompt_tokens=arrival.prompt_tokens,
             output_tokens=arrival.output_tokens,
-            deadline=now + _seconds(arrival, route),
+            deadline=now + _timeout_seconds(arrival, route),
             repeatable=route.repeatable,
             fingerprint=fingerprint(
                 method=request.method, scope=host, path=request.target, body=request.body
@@ -196,8 +196,8 @@
     return customer
 
 
-def _seconds(arrival: RequestInfo, route: Route) -> float:
-    """Return how long a request may take: as the caller says, and no longer than its route."""
+def _timeout_seconds(arrival: RequestInfo, route: Route) -> float:
+    """Return the request's timeout in seconds: the caller's, capped by the route's."""
     if arrival.seconds_left is None:
         return route.timeout
     return min(arrival.seconds_left, route.timeout)
--- a/src/azureswitch/gateway/_log.py
+++ b/src/azureswitch/gateway/_log.py
@@ -1,4 +1,4 @@
-"""What a gateway logs."""
+"""The log entries of a gateway."""
 
 from typing import ClassVar
 
@@ -12,7 +12,7 @@
     """Base of the entries about a request.
 
     Attributes:
-        id: The caller's id of this one try.
+        id: The caller's id of this attempt.
     """
 
     part: ClassVar[str] = "gateway"
@@ -30,7 +30,7 @@
     Attributes:
         code: The failure.
         status: The status that its caller gets.
-        version: The configuration that decided, or zero for none.
+        version: The version of the configuration in force, or zero for none.
     """
 
     sentence: ClassVar[str] = "Request refused."
@@ -41,10 +41,10 @@
 
 
 class RequestUnserved(_RequestEntry, frozen=True, kw_only=True):
-    """A request was read whole and not begun, as its connection ended.
+    """A request was read completely but not started, because its connection closed.
 
     Attributes:
-        reason: Why the connection ended.
+        reason: Why the connection closed.
     """
 
     sentence: ClassVar[str] = "Request not served."
@@ -57,14 +57,14 @@
 
     Attributes:
         route: Its route.
-        service: The service that it goes to.
-        customer: Whose it is.
-        fingerprint: Begins alike for tries that ask for the same.
+        service: The service that it is sent to.
+        customer: The customer that it belongs to.
+        fingerprint: The start of the fingerprint, equal for retries of the same request.
         prompt: Tokens of its prompt.
-        output: The most tokens of its answer.
-        left: Seconds that it has.
-        after: The id of the last event that its caller has.
-        version: The configuration that decided.
+        output: The maximum output tokens.
+        left: Seconds until its deadline.
+        after: The id of the last event that its caller has received.
+        version: The version of the configuration in force.
     """
 
     sentence: ClassVar[str] = "Request admitted."
@@ -84,12 +84,12 @@
 
     Attributes:
         attempt: Its number.
-        targets: The target that answers, and those that help.
-        held: Tokens of memory that are set aside on helpers.
-        predicted: Seconds to the first token that were predicted; zero where nothing was.
-        peers: How many peers' accounts the choice knew of.
-        held_back: Targets that were left aside, as their limits permitted no more requests.
-        after: The id of the last event that the caller has.
+        targets: The target that answers, and the helping engines.
+        held: Tokens of memory that are reserved for the prompt.
+        predicted: Predicted seconds to the first token; zero if there is no prediction.
+        peers: Number of peers whose sends the choice took into account.
+        held_back: Number of targets excluded because their rate limits were used up.
+        after: The id of the last event that the caller has received.
     """
 
     sentence: ClassVar[str] = "Attempt sent."
@@ -103,13 +103,13 @@
 
 
 class TargetSilent(_RequestEntry, frozen=True, kw_only=True):
-    """An attempt's target writes nothing; it is called off next, or waited for.
+    """An attempt's target is silent; the attempt is cancelled, or the target is waited for.
 
     Attributes:
         attempt: Its number.
         target: The target.
         seconds: How long ago the attempt was sent.
-        events: The id of the last event that the caller has.
+        events: The id of the last event that the caller has received.
     """
 
     sentence: ClassVar[str] = "Target silent."
@@ -120,7 +120,7 @@
 
 
 class TargetLeaves(_RequestEntry, frozen=True, kw_only=True):
-    """A target says in an answer that it is about to leave.
+    """A target announced in an answer that it is about to leave.
 
     Attributes:
         target: The target.
@@ -135,12 +135,12 @@
 
     Attributes:
         attempt: Its number.
-        end: How.
-        error: The failure, or nothing.
-        status: The status that the target gave; zero for none.
-        at_fault: The target that failed, where another than the first is known to have.
+        end: How it ended.
+        error: The error code, or empty.
+        status: The status of the target's answer; zero for none.
+        at_fault: The target known to have failed, if it is not the first one.
         seconds: How long it took.
-        events: The id of the last event that the caller has.
+        events: The id of the last event that the caller has received.
     """
 
     sentence: ClassVar[str] = "Attempt over."
@@ -154,14 +154,14 @@
 
 
 class RequestAnswered(_RequestEntry, frozen=True, kw_only=True):
-    """A request has its whole answer.
+    """A request was answered completely.
 
     Attributes:
         seconds: How long it took.
         first: Seconds to the first event, or to the answer.
-        pause: The most seconds between two events.
+        pause: The longest pause between two events, in seconds.
         on_time: Whether both were within the route's objectives.
-        attempts: How many attempts it took.
+        attempts: Number of attempts.
     """
 
     sentence: ClassVar[str] = "Request answered."
@@ -177,10 +177,10 @@
 
     Attributes:
         code: The failure.
-        status: The status of the answer; zero where an answer that had begun was broken off.
-        ran: Whether it ran at a target.
+        status: The status of the answer; zero if an answer that had begun was aborted.
+        ran: Whether it ran on a target.
         seconds: How long it took.
-        attempts: How many attempts were made.
+        attempts: Number of attempts.
         targets: The targets that they were sent to.
     """
 
@@ -195,13 +195,13 @@
 
 
 class RequestCutOff(_RequestEntry, frozen=True, kw_only=True):
-    """A request has no end as the process ends; its caller gets neither answer nor refusal.
+    """A request was still open when the process exited; its caller gets no answer.
 
     Attributes:
-        sent: Whether an attempt is under way.
-        begun: Whether its caller has a part of the answer.
+        sent: Whether an attempt is running.
+        begun: Whether its caller has received part of the answer.
         seconds: How long ago it was read.
-        attempts: How many attempts were made.
+        attempts: Number of attempts.
         targets: The targets that they were sent to.
     """
 
@@ -215,13 +215,13 @@
 
 
 class RequestQuarantined(Entry, frozen=True, kw_only=True):
-    """Targets crashed under tries at one request, which is sent to no more of them.
+    """A request was quarantined because targets crashed while running it.
 
     Attributes:
-        customer: Whose it is.
+        customer: The customer that it belongs to.
         fingerprint: As at `RequestAdmitted`.
-        targets: Some of the targets.
-        seen_here: Whether a try of this host was among them.
+        targets: Some of the targets that crashed.
+        seen_here: Whether an attempt of this host was among them.
     """
 
     part: ClassVar[str] = "gateway"
@@ -234,21 +234,21 @@
 
 
 class QuarantineEnded(RequestQuarantined, frozen=True):
-    """A target has answered a request that was quarantined, which is sent as others are."""
+    """A target answered a quarantined request, which is now treated like any other."""
 
     sentence: ClassVar[str] = "Quarantine ended."
     level: ClassVar[Level] = Level.INFO
 
 
 class TargetLimited(Entry, frozen=True, kw_only=True):
-    """A target takes so many requests a second from all hosts together.
+    """A target advertised a rate limit that applies to all hosts together.
 
     Attributes:
         target: The target.
-        rate: Requests a second that are kept to.
-        before: The same before; zero where it named no limit.
-        said: What it said to this host, or nothing where a peer told it.
-        age: Seconds since a host heard it.
+        rate: The limit that is applied, in requests per second.
+        before: The previous limit; zero if there was none.
+        said: The header value received by this host; empty if a peer reported the limit.
+        age: Seconds since a host received it.
     """
 
     part: ClassVar[str] = "gateway"
@@ -261,19 +261,19 @@
 
 
 class LimitUnreadable(TargetLimited, frozen=True):
-    """What a target says of its limit is no decimal number."""
+    """A target advertised a limit that is not a decimal number."""
 
     sentence: ClassVar[str] = "Target limits its requests in a way that cannot be read."
     level: ClassVar[Level] = Level.WARNING
 
 
 class LimitEnded(Entry, frozen=True, kw_only=True):
-    """A target names no limit any more.
+    """A target no longer advertises a rate limit.
 
     Attributes:
         target: The target.
-        before: Requests a second that it took.
-        age: Seconds since a host heard it.
+        before: The previous limit, in requests per second.
+        age: Seconds since a host received it.
     """
 
     part: ClassVar[str] = "gateway"
@@ -287,11 +287,11 @@
     """A configuration is in force.
 
     Attributes:
-        version: Its number.
-        before: The number of the one before it; zero for none.
-        routes: How many routes it has.
-        services: How many services.
-        keys: How many keys.
+        version: Its version.
+        before: The previous version; zero for none.
+        routes: Number of routes.
+        services: Number of services.
+        keys: Number of API keys.
     """
 
     part: ClassVar[str] = "gateway"
@@ -307,11 +307,11 @@
     """The list of targets changed.
 
     Attributes:
-        added: Those that came.
-        gone: Those that went.
-        restarted: Those that started again under their name.
-        draining: Those that leave.
-        serving: How many take new work.
+        added: Those that were added.
+        gone: Those that were removed.
+        restarted: Those that restarted under the same name.
+        draining: Those that are draining.
+        serving: Number of targets that accept new requests.
     """
 
     part: ClassVar[str] = "gateway"
@@ -324,15 +324,15 @@
 
 
 class PeersKnown(Entry, frozen=True, kw_only=True):
-    """The set of hosts that take work changed.
+    """The set of hosts that accept work changed.
 
-    Only what changed is named: the names of 195 hosts take 4 KB, and each host would write them as
-    often as one of the others comes or goes.
+    Only the changes are logged: the names of 195 hosts take 4 KB, and each host would log them
+    whenever another one joins or leaves.
 
     Attributes:
-        added: Those that came.
-        gone: Those that went.
-        hosts: How many there are.
+        added: Those that were added.
+        gone: Those that were removed.
+        hosts: Total number of hosts.
     """
 
     part: ClassVar[str] = "gateway"
@@ -343,11 +343,11 @@
 
 
 class Started(Entry, frozen=True, kw_only=True):
-    """The process listens.
+    """The process is listening.
 
     Attributes:
-        callers: Where callers are served.
-        readiness: Where it says whether it takes connections.
+        callers: The address for callers.
+        readiness: The address of the readiness endpoint.
     """
 
     part: ClassVar[str] = "gateway"
@@ -356,8 +356,8 @@
     readiness: str
 
 
-class _StepEntry(Entry, frozen=True, kw_only=True):
-    """Base of the entries about a process with requests that are open.
+class _OpenRequestsEntry(Entry, frozen=True, kw_only=True):
+    """Base of the entries that include the number of open requests.
 
     Attributes:
         open_requests: Requests that have not been answered.
@@ -367,23 +367,23 @@
     open_requests: int
 
 
-class Leaving(_StepEntry, frozen=True):
-    """The process takes no new connections soon."""
+class Leaving(_OpenRequestsEntry, frozen=True):
+    """The process began a stop and will soon accept no new connections."""
 
     sentence: ClassVar[str] = "Leaving."
 
 
-class ListenerClosed(_StepEntry, frozen=True):
-    """The process that leaves takes no new connections from now on."""
+class ListenerClosed(_OpenRequestsEntry, frozen=True):
+    """The leaving process accepts no new connections any more."""
 
     sentence: ClassVar[str] = "Listening no more."
 
 
-class HostSuspended(_StepEntry, frozen=True, kw_only=True):
-    """The host was suspended, and what was due meanwhile is done now.
+class HostSuspended(_OpenRequestsEntry, frozen=True, kw_only=True):
+    """The host was suspended; timers that expired meanwhile fire now.
 
     Attributes:
-        seconds: For how long.
+        seconds: Duration of the suspension.
     """
 
     sentence: ClassVar[str] = "Host was suspended."
@@ -391,17 +391,17 @@
     seconds: float
 
 
-class GraceOver(_StepEntry, frozen=True):
-    """The time of grace is over, and what is open is decided now."""
+class GraceOver(_OpenRequestsEntry, frozen=True):
+    """The grace period is over; all open requests are ended now."""
 
     sentence: ClassVar[str] = "The time of grace is over."
 
 
 class Stopped(Entry, frozen=True, kw_only=True):
-    """The process ends.
+    """The process exits.
 
     Attributes:
-        seconds: How long after it was told to.
+        seconds: Time since the stop was ordered.
     """
 
     part: ClassVar[str] = "gateway"
--- a/src/azureswitch/gateway/_model.py
+++ b/src/azureswitch/gateway/_model.py
@@ -1,4 +1,4 @@
-"""What the gateway serves by: routes, keys, limits, and one request as it was read."""
+"""Data model of the gateway: routes, configuration, and decoded headers."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class RouteKind(Enum):
-    """What may be done with the requests of a route."""
+    """How the requests of a route may be retried and answered."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,11 +19,11 @@
 
 
 class Share(Struct, frozen=True, kw_only=True):
-    """A service's part of a route's requests.
+    """A service's share of a route's requests.
 
     Attributes:
         service: The service.
-        weight: Its part beside the weights of the other services.
+        weight: Its weight relative to those of the other services.
     """
 
     service: ServiceName
@@ -31,21 +31,21 @@
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """Where requests of one host and path go, and how they are treated.
+    """Routing and policy for the requests of one host and path prefix.
 
     Attributes:
         name: Its name.
-        host: The value of ``Host`` that it serves, in lower case.
-        prefix: The path prefix that it serves.
-        kind: What may be done with its requests.
-        shares: The services that it goes to.
+        host: The ``Host`` value that it matches, in lower case.
+        prefix: The path prefix that it matches.
+        kind: How its requests may be retried and answered.
+        shares: The services that its requests are split among.
         timeout: Seconds within which a request must have its final answer.
-        objective: Seconds to the answer, or its first event, for it to be on time.
-        gap_objective: Seconds between two events for it to stay so.
-        runs: Targets that may run one request, at most.
-        priority: Its rank beside other routes; smaller goes first.
+        objective: Maximum seconds to the answer, or its first event, to count as on time.
+        gap_objective: Maximum seconds between two events to count as on time.
+        runs: Maximum number of targets that may run one request.
+        priority: Its priority among routes; smaller goes first.
         anonymous: Whether requests need no key.
-        resumable: Whether a broken stream may go on at another target.
+        resumable: Whether a broken stream may be resumed at another target.
     """
 
     name: str
@@ -69,14 +69,14 @@
 
 
 class Deployment(Struct, frozen=True, kw_only=True):
-    """One accepted configuration, as the gateway serves by it.
+    """One accepted configuration of the gateway.
 
     Attributes:
-        version: Its number; later ones are greater.
+        version: Its version; newer ones are greater.
         routes: The routes.
         services: The services behind them.
-        customers: Who holds each key; empty where no keys are asked for.
-        limits: What a caller's connection may ask.
+        customers: Customers by API key; empty if no keys are required.
+        limits: The limits on callers' connections.
     """
 
     version: int
@@ -87,16 +87,16 @@
 
 
 class RequestInfo(Struct, frozen=True, kw_only=True):
-    """What a request's headers say, decoded.
+    """The decoded headers of a request.
 
     Attributes:
-        id: The caller's id of this one try.
+        id: The caller's id of this attempt.
         key: The API key, or None.
-        seconds_left: How long the caller will wait, or None where it does not say.
-        model: The model asked for; empty for plain services.
+        seconds_left: How long the caller will wait, or None if not given.
+        model: The requested model; empty for plain services.
         prompt_tokens: Tokens of the prompt.
-        output_tokens: The most output tokens.
-        last_event: The id of the last event that the caller has; zero for none.
+        output_tokens: The maximum output tokens.
+        last_event: The id of the last event that the caller has received; zero for none.
     """
 
     id: CallId
@@ -109,11 +109,11 @@
 
 
 class Helper(Struct, frozen=True, kw_only=True):
-    """An engine that helps another one to read a prompt.
+    """An engine that helps another one to process a prompt.
 
     Attributes:
         address: ``IP:PORT`` of the engine.
-        ticket: The memory set aside there for the prompt, or None.
+        ticket: The id of the memory reservation there, or None.
     """
 
     address: str
@@ -121,16 +121,16 @@
 
 
 class AttemptInfo(Struct, frozen=True, kw_only=True):
-    """What one attempt adds to a request.
+    """What the headers of one attempt add to a request.
 
     Attributes:
         arrival: The request's headers, decoded.
-        customer: Whose request it is; empty where no keys are asked for.
-        target: The target that must run it, and no other at the same address.
+        customer: The customer; empty if no keys are required.
+        target: The only target that may run it, even if another one has the same address.
         seconds_left: How long the caller still waits.
-        last_event: The id of the last event that the caller has; zero for none.
-        urgency: Smaller is admitted first.
-        helpers: The engines that help to read the prompt.
+        last_event: The id of the last event that the caller has received; zero for none.
+        urgency: The admission priority; smaller goes first.
+        helpers: The engines that help to process the prompt.
     """
 
     arrival: RequestInfo
@@ -143,11 +143,11 @@
 
 
 class AdvertisedLimit(Struct, frozen=True, kw_only=True):
-    """What a target says in an answer of the requests that it takes from all hosts together.
+    """A rate limit in a target's answer, which applies to all hosts together.
 
     Attributes:
-        text: What it says.
-        rate: Requests a second, or None where the text is no such number.
+        text: The header value.
+        rate: Requests per second, or None if the text is not a valid number.
     """
 
     text: str
@@ -155,17 +155,17 @@
 
 
 class AnswerInfo(Struct, frozen=True, kw_only=True):
-    """What the head of a target's answer says of the request.
+    """The decoded head of a target's answer.
 
     Attributes:
         not_run: Whether the target promises that it did not run and will not.
-        id: The id of the request that it answers, or None where it does not say.
-        retry_after: Seconds after which the target may take the request, where it says so.
-        at_fault: Address of the helping engine that failed, where it says so.
-        sealed: Whether the answer bears the mark of the target's program.
-        readable: Whether the body is as the target's program made it, in no further encoding.
-        leaving: Whether the target says that it is about to leave.
-        limit: How many requests the target says that it takes, or None where it does not say so.
+        id: The id of the request that it answers, or None if not given.
+        retry_after: Seconds after which the target may accept the request, if given.
+        at_fault: Address of the helping engine that failed, if given.
+        sealed: Whether the answer has the seal header of the target's program.
+        readable: Whether the body has no additional content encoding.
+        leaving: Whether the target announces that it is about to leave.
+        limit: The rate limit that the target advertises, or None.
     """
 
     not_run: bool
--- a/src/azureswitch/gateway/_notices.py
+++ b/src/azureswitch/gateway/_notices.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves in their answers, to requests and to orders alike."""
+"""Processes the state that targets report in answers to requests and orders."""
 
 from collections.abc import Callable
 
@@ -10,13 +10,13 @@
 from azureswitch.serving import LimitNamed, LimitUnnamed, ServingEvent, TargetLeaving
 
 
-class Hearing:
-    """Tells the reducer what targets say of themselves.
+class TargetNotices:
+    """Reports the leaving notices and rate limits of targets to the reducer.
 
     Args:
-        limited: Returns whether a target is known to have named a limit.
-        dispatch: Hands an event to the reducer.
-        log: Takes what is heard.
+        limited: Returns whether a rate limit is known for a target.
+        dispatch: Dispatches an event to the reducer.
+        log: Receives the log entries.
         clock: Returns seconds of the monotonic clock.
     """
 
@@ -33,30 +33,30 @@
         self._log = log
         self._clock = clock
 
-    def hear_answer(
+    def handle_answer(
         self, target: Target, verdict: AnswerInfo, *, request: str, sent: float
     ) -> None:
-        """Take the answer to a request that was sent at some time."""
-        self.hear(target, verdict, id=request)
-        # A refusal may come from what stands before the target's program.
-        silent = verdict.limit is None and not verdict.not_run
-        if silent and self._limited(target.name):
+        """Process the answer to a request that was sent at ``sent``."""
+        self.handle(target, verdict, id=request)
+        # A refusal may come from a proxy in front of the target, which knows no limit.
+        unlimited = verdict.limit is None and not verdict.not_run
+        if unlimited and self._limited(target.name):
             self._dispatch(
                 LimitUnnamed(
                     now=self._clock(), target=target.name, started=target.started, sent=sent
                 )
             )
 
-    def hear(self, target: Target, verdict: AnswerInfo, *, id: str) -> None:
-        """Take what an answer says, as that to an order, which does not end a limit.
+    def handle(self, target: Target, verdict: AnswerInfo, *, id: str) -> None:
+        """Process an answer.  An answer without a limit does not end a known one here.
 
         Args:
-            target: Who answers.
-            verdict: What the head of the answer says.
-            id: The request or the order, for the log.
+            target: The target that answered.
+            verdict: The decoded head of the answer.
+            id: The id of the request or order, for the log.
         """
         if verdict.leaving:
-            # The store may say so much later.
+            # The store may list it as leaving only much later.
             self._log.write(TargetLeaves(id=id, target=target.name))
             self._dispatch(
                 TargetLeaving(now=self._clock(), target=target.name, started=target.started)
--- a/src/azureswitch/gateway/_pages.py
+++ b/src/azureswitch/gateway/_pages.py
@@ -1,4 +1,4 @@
-"""Pages beside the callers' requests: whether the process is ready, its metrics and its status."""
+"""HTTP pages for the platform and operators: readiness, metrics and status."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Mapping
@@ -18,7 +18,7 @@
     """Base of the pages.
 
     Args:
-        dialect: The form of failures.
+        dialect: Encodes errors.
     """
 
     def __init__(self, *, dialect: Dialect) -> None:
@@ -26,12 +26,12 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """What a connection may ask."""
+        """The limits on connections."""
         return CallerLimits()
 
     @property
     def closing(self) -> bool:
-        """Connections are kept."""
+        """Whether connections are closed after an answer; always False."""
         return False
 
     @abstractmethod
@@ -39,16 +39,16 @@
         """Answer a request."""
 
     def refuse(self, exchange: Exchange, error: AzureswitchError) -> None:
-        """Answer with the failure's status."""
+        """Answer with the status of an error."""
         respond_failure(exchange, error, dialect=self._dialect)
 
 
 class ReadinessPage(Page):
-    """Answers whether this process takes new connections.
+    """Reports whether this process accepts new connections.
 
     Args:
         ready: Returns whether it does.
-        dialect: The form of failures.
+        dialect: Encodes errors.
     """
 
     def __init__(self, *, ready: Callable[[], bool], dialect: Dialect) -> None:
@@ -56,7 +56,7 @@
         self._ready = ready
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer without a failure where new connections are taken."""
+        """Answer 200 if new connections are accepted, otherwise an error."""
         if self._ready():
             exchange.respond(status=HTTPStatus.OK, headers=(), body=b"")
             return
@@ -67,8 +67,8 @@
     """Shows the metrics.
 
     Args:
-        metrics: What is shown.
-        dialect: The form of failures.
+        metrics: The metrics to show.
+        dialect: Encodes errors.
     """
 
     def __init__(self, *, metrics: Metrics, dialect: Dialect) -> None:
@@ -86,11 +86,11 @@
 
 
 class StatusPage(Page):
-    """Shows what this host knows of the fleet.
+    """Shows the state of the fleet as this host knows it.
 
     Args:
-        status: Returns what it knows now.
-        dialect: The form of failures.
+        status: Returns the current status.
+        dialect: Encodes errors.
     """
 
     def __init__(self, *, status: Callable[[], HostStatus], dialect: Dialect) -> None:
@@ -98,7 +98,7 @@
         self._status = status
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer with JSON."""
+        """Answer with the status as JSON."""
         exchange.respond(
             status=HTTPStatus.OK,
             headers=(("content-type", "application/json"),),
@@ -107,11 +107,11 @@
 
 
 class PathPages(Page):
-    """Several pages, each at its path.
+    """Dispatches requests to pages by path.
 
     Args:
         pages: The pages by their paths.
-        dialect: The form of failures.
+        dialect: Encodes errors.
     """
 
     def __init__(self, *, pages: Mapping[str, Page], dialect: Dialect) -> None:
@@ -119,7 +119,7 @@
         self._pages = pages
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer by the page of the path."""
+        """Answer with the page at the request's path."""
         page = self._pages.get(exchange.request.target.partition("?")[0])
         if page is None:
             self.refuse(exchange, UnknownPathError())
--- a/src/azureswitch/gateway/_ports.py
+++ b/src/azureswitch/gateway/_ports.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of the platform it runs on."""
+"""Interfaces that the platform implements for the gateway."""
 
 from typing import Protocol
 
@@ -15,11 +15,11 @@
 )
 
 Published = PublishDigest | PublishTotals | AnnounceQuarantine | AskPermit | AnswerPermit
-"""What the reducer asks to be told to other hosts, or kept."""
+"""Effects of the reducer that are sent to other hosts or stored."""
 
 
 class Dialect(Protocol):
-    """The headers by which callers, this system and targets understand each other."""
+    """Encodes and decodes the headers exchanged with callers and targets."""
 
     def read(self, request: HttpRequest) -> RequestInfo:
         """Decode a caller's headers.
@@ -29,7 +29,7 @@
         """
 
     def id_of(self, request: HttpRequest) -> str:
-        """Return the caller's id of this one try, or nothing where it gives none."""
+        """Return the caller's id of this attempt, or an empty string if there is none."""
 
     def sending(self, request: HttpRequest, sending: AttemptInfo) -> Headers:
         """Return the headers with which an attempt is sent to a target."""
@@ -38,25 +38,25 @@
         """Decode the head of a target's answer."""
 
     def answer(self, head: HttpHead) -> Headers:
-        """Return the headers of a target's answer that go on to the caller."""
+        """Return the headers of a target's answer that are forwarded to the caller."""
 
     def failure(self, error: AzureswitchError) -> tuple[Headers, bytes]:
-        """Return the headers and the body that tell a caller of a failure of ours."""
+        """Return the headers and body of an error of the gateway itself."""
 
 
 class Reservations(Protocol):
-    """Memory set aside on engines for a prompt that is larger than one of them."""
+    """Reserves memory on engines for prompts that are larger than one engine."""
 
     async def reserve(self, *, address: str, ticket: str, tokens: int, seconds: float) -> None:
-        """Set memory aside.
+        """Reserve memory for some seconds, or renew a reservation.
 
         Raises:
             TargetRefusedError: The engine has no room, or was not reached.
-            TargetBrokenError: The engine may have set it aside.
+            TargetBrokenError: The engine may have reserved it.
         """
 
     async def release(self, *, address: str, ticket: str) -> None:
-        """Free what was set aside; harmless where it is not there.
+        """Release a reservation; does nothing if there is none.
 
         Raises:
             TargetRefusedError: The engine was not reached.
--- a/src/azureswitch/gateway/_prepared.py
+++ b/src/azureswitch/gateway/_prepared.py
@@ -1,4 +1,4 @@
-"""Builds what a configuration needs to be in force, beside the one that is."""
+"""Prepares a configuration for activation while another one is in force."""
 
 from msgspec import Struct
 
@@ -9,11 +9,11 @@
 
 
 class Prepared(Struct, frozen=True, kw_only=True):
-    """A configuration that can be put in force at once.
+    """A configuration that is ready to be activated.
 
     Attributes:
         deployment: The configuration.
-        routes: Its routes, to be looked up.
+        routes: Its routes, indexed for lookup.
         customers: Its customers, in the order of their names.
     """
 
@@ -23,7 +23,7 @@
 
 
 def prepare(deployment: Deployment) -> Steps[Prepared]:
-    """Build what a configuration needs, in steps."""
+    """Prepare a configuration, yielding to the event loop between steps."""
     routes = Routes(routes=deployment.routes)
     yield GO_ON
     names = sorted(set(deployment.customers.values()))
--- a/src/azureswitch/gateway/_records.py
+++ b/src/azureswitch/gateway/_records.py
@@ -1,4 +1,4 @@
-"""What the gateway keeps of one admitted request."""
+"""The state of one admitted request."""
 
 import asyncio
 
@@ -17,14 +17,14 @@
         call: The call as the reducer knows it.
         arrival: Its headers, decoded.
         route: Its route.
-        exchange: Where its answer goes.
+        exchange: The HTTP exchange that receives the answer.
         started: When it was read, in seconds of the monotonic clock.
         last_event: The id of the last event that the caller has.
-        first_event: When the first event or the answer came, or None.
-        newest_event: When the newest one came.
-        longest_pause: The most seconds between two events, also over a change of targets.
-        fallback: A target's own failure, which the caller gets where no further try succeeds.
-        tasks: The attempts that run, by number.
+        first_event: When the first event or the answer arrived, or None.
+        newest_event: When the latest one arrived.
+        longest_pause: The most seconds between two events, including a switch of targets.
+        fallback: A target's failure answer, sent to the caller if no retry succeeds.
+        tasks: The running attempts, by number.
         targets: The targets that attempts were sent to, in order.
         sent_at: When the last attempt was sent.
     """
--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Runs one attempt: sends a request to a target and passes its answer on to the caller."""
+"""Runs one attempt: sends a request to a target and relays its answer to the caller."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -21,10 +21,10 @@
 from azureswitch.gateway._events import EventSplitter, StreamEvent
 from azureswitch.gateway._log import AttemptOver, AttemptSent, TargetSilent
 from azureswitch.gateway._model import AnswerInfo, AttemptInfo, Helper, RouteKind
-from azureswitch.gateway._notices import Hearing
+from azureswitch.gateway._notices import TargetNotices
 from azureswitch.gateway._ports import Dialect
 from azureswitch.gateway._records import CallRecord
-from azureswitch.gateway._silence import Patience
+from azureswitch.gateway._silence import SilenceTimer
 from azureswitch.gateway._tickets import Ticket, Tickets
 from azureswitch.inventory import Target
 from azureswitch.logs import Log
@@ -37,21 +37,21 @@
     StartAttempt,
 )
 
-CONNECT_TIMEOUT = 0.35
-"""Seconds that a connection to a target may take.
+CONNECT_TIMEOUT_SECONDS = 0.35
+"""Timeout in seconds for connecting to a target.
 
-A lost opening packet is sent again after a second; a new connection is sooner.
+A lost SYN is retransmitted after a second; opening a new connection is faster.
 """
 
-FULL_SECONDS = 0.25
-"""Seconds for which a target that refused is left alone where it does not say for how long."""
+DEFAULT_BACKOFF_SECONDS = 0.25
+"""Default backoff in seconds for a target that refused without naming a delay."""
 
-ANSWER_GRACE = 0.3
-"""Seconds after the deadline at which a connection is closed; the reducer acts before that."""
+ANSWER_GRACE_SECONDS = 0.3
+"""Seconds after the deadline at which the connection times out; the reducer acts earlier."""
 
 
 class _End(Struct, frozen=True, kw_only=True):
-    """How an attempt ended, and why."""
+    """The result of an attempt."""
 
     how: AttemptEnd
     error: TargetError | None = None
@@ -64,12 +64,12 @@
     """Runs attempts.
 
     Args:
-        dialect: The headers towards targets and callers.
-        tickets: Sets memory aside for prompts larger than one engine.
-        targets: Returns the targets that are listed now, by name.
-        hearing: Takes what targets say of themselves.
-        dispatch: Hands an event to the reducer.
-        log: Takes what is decided.
+        dialect: Encodes and decodes the headers exchanged with callers and targets.
+        tickets: Reserves memory for prompts larger than one engine.
+        targets: Returns the listed targets by name.
+        notices: Processes the target state reported in answers.
+        dispatch: Dispatches an event to the reducer.
+        log: Receives the log entries.
         clock: Returns seconds of the monotonic clock.
     """
 
@@ -79,7 +79,7 @@
         dialect: Dialect,
         tickets: Tickets,
         targets: Callable[[], Mapping[TargetName, Target]],
-        hearing: Hearing,
+        notices: TargetNotices,
         dispatch: Callable[[ServingEvent], None],
         log: Log,
         clock: Callable[[], float],
@@ -87,13 +87,13 @@
         self._dialect = dialect
         self._tickets = tickets
         self._targets = targets
-        self._hearing = hearing
+        self._notices = notices
         self._dispatch = dispatch
         self._log = log
         self._clock = clock
 
     async def run(self, record: CallRecord, effect: StartAttempt) -> None:
-        """Run an attempt to its end and tell the reducer of it."""
+        """Run an attempt to its end and report the result to the reducer."""
         name = effect.targets[0]
         record.targets.append(name)
         record.sent_at = self._clock()
@@ -122,7 +122,7 @@
             self._end(record, effect, _End(how=AttemptEnd.CANCELLED))
             raise
         except Exception:
-            # A fault of this program must not keep a request waiting until its deadline.
+            # An internal error must not keep the request waiting until its deadline.
             logging.exception("gateway: An attempt at %s failed.", name)
             error = TargetBrokenError(target=name, tokens=record.last_event)
             end = _End(how=AttemptEnd.BROKEN, error=error)
@@ -169,12 +169,12 @@
                     self._tickets.hold(tickets.values(), call=effect.call)
                 )
             except TargetError as error:
-                # Whatever an engine did with the order, the request itself was not sent.
+                # Whether or not the engine reserved memory, the request itself was not sent.
                 return _End(
                     how=AttemptEnd.REFUSED,
                     error=error,
-                    retry_after=FULL_SECONDS,
-                    at_fault=_named(error, targets),
+                    retry_after=DEFAULT_BACKOFF_SECONDS,
+                    at_fault=_target_of_error(error, targets),
                 )
             return await self._send(record, effect, targets, tickets)
 
@@ -198,27 +198,29 @@
             helpers=tuple(_helper(target, tickets) for target in targets[1:]),
         )
         request = record.exchange.request
-        client = HttpClient(address=first.address, connect_timeout=CONNECT_TIMEOUT, pool_limit=0)
+        client = HttpClient(
+            address=first.address, connect_timeout=CONNECT_TIMEOUT_SECONDS, pool_limit=0
+        )
         stream = client.stream(
             method=request.method,
             path=request.target,
             headers=self._dialect.sending(request, sending),
             body=request.body,
-            timeout=max(0.0, left) + ANSWER_GRACE,
+            timeout=max(0.0, left) + ANSWER_GRACE_SECONDS,
             fresh=True,
         )
-        patience = Patience(
+        timer = SilenceTimer(
             seconds=effect.first_patience, silent=lambda: self._silent(record, effect)
         )
-        with patience:
+        with timer:
             async with stream as answer:
                 verdict = self._dialect.decode_answer(answer.head)
-                # Told before the answer goes on.
-                self._hearing.hear_answer(first, verdict, request=record.arrival.id, sent=sent)
-                return await self._pass_on(record, effect, answer, verdict, patience)
+                # Processed before the answer is relayed.
+                self._notices.handle_answer(first, verdict, request=record.arrival.id, sent=sent)
+                return await self._relay_answer(record, effect, answer, verdict, timer)
 
     def _silent(self, record: CallRecord, effect: StartAttempt) -> None:
-        """Tell the reducer, which calls the attempt off where another one may follow."""
+        """Report silence to the reducer, which cancels the attempt if another one is possible."""
         now = self._clock()
         self._log.write(
             TargetSilent(
@@ -231,13 +233,13 @@
         )
         self._dispatch(AttemptSilent(now=now, call=effect.call, attempt=effect.attempt))
 
-    async def _pass_on(
+    async def _relay_answer(
         self,
         record: CallRecord,
         effect: StartAttempt,
         answer: HttpExchange,
         verdict: AnswerInfo,
-        patience: Patience,
+        timer: SilenceTimer,
     ) -> _End:
         head = answer.head
         target = effect.targets[0]
@@ -245,9 +247,9 @@
             return _End(
                 how=AttemptEnd.REFUSED,
                 error=TargetRefusedError(target=target, seconds=verdict.retry_after),
-                retry_after=verdict.retry_after or FULL_SECONDS,
-                # Who answers asks for itself to be left alone.
-                at_fault=None if verdict.retry_after else self._at(verdict.at_fault, effect),
+                retry_after=verdict.retry_after or DEFAULT_BACKOFF_SECONDS,
+                # With a retry delay, it is the answering target itself that asks for backoff.
+                at_fault=None if verdict.retry_after else self._target_at(verdict.at_fault, effect),
                 status=head.status,
             )
         if verdict.id is not None and verdict.id != record.call.id:
@@ -256,47 +258,49 @@
         if success and not (verdict.readable and verdict.sealed):
             raise TargetAnswerError(target=target)
         if record.exchange.started and not success:
-            # Half an answer is with the caller; a target's failure cannot end it.
+            # The caller already has part of an answer, which a failure status cannot complete.
             raise TargetAnswerError(target=target)
         if success and record.route.kind is RouteKind.STREAMING:
-            return await self._stream(record, effect, answer, patience)
-        return await self._whole(record, effect, answer)
+            return await self._relay_stream(record, effect, answer, timer)
+        return await self._relay_whole(record, effect, answer)
 
-    async def _whole(self, record: CallRecord, effect: StartAttempt, answer: HttpExchange) -> _End:
-        """Pass on an answer once it is whole."""
+    async def _relay_whole(
+        self, record: CallRecord, effect: StartAttempt, answer: HttpExchange
+    ) -> _End:
+        """Buffer the complete answer, then relay it."""
         whole = HttpAnswer(head=answer.head, body=await answer.body())
         failed = whole.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if failed and record.call.repeatable:
             record.fallback = whole
             error = TargetAnswerError(target=effect.targets[0])
             return _End(how=AttemptEnd.BROKEN, error=error, status=whole.head.status)
-        self._arrived(record, effect)
+        self._record_event(record, effect)
         self.respond(record, whole)
         return _End(how=AttemptEnd.COMPLETE, status=whole.head.status)
 
     def respond(self, record: CallRecord, whole: HttpAnswer) -> None:
-        """Give the caller a target's whole answer."""
+        """Send a target's complete answer to the caller."""
         record.exchange.respond(
             status=whole.head.status, headers=self._dialect.answer(whole.head), body=whole.body
         )
 
-    async def _stream(
+    async def _relay_stream(
         self,
         record: CallRecord,
         effect: StartAttempt,
         answer: HttpExchange,
-        patience: Patience,
+        timer: SilenceTimer,
     ) -> _End:
         splitter = EventSplitter()
         while data := await answer.read():
             events = splitter.feed(data)
             if not events:
                 continue
-            self._put(record, effect, answer.head, events)
-            # A caller that reads slowly is no fault of the target's.
-            patience.suspend()
+            self._relay_events(record, effect, answer.head, events)
+            # Time spent on a slow caller must not count as silence of the target.
+            timer.suspend()
             await record.exchange.drain()
-            patience.begin(effect.gap_patience)
+            timer.begin(effect.gap_patience)
         if splitter.torn:
             raise TargetAnswerError(target=effect.targets[0])
         if not record.exchange.started:
@@ -306,14 +310,14 @@
         record.exchange.finish()
         return _End(how=AttemptEnd.COMPLETE, status=answer.head.status)
 
-    def _put(
+    def _relay_events(
         self,
         record: CallRecord,
         effect: StartAttempt,
         head: HttpHead,
         events: list[StreamEvent],
     ) -> None:
-        """Pass on the events that the caller does not have yet."""
+        """Relay the events that the caller has not received yet."""
         fresh = []
         for event in events:
             if event.id is not None and event.id <= record.last_event:
@@ -325,9 +329,9 @@
         if not record.exchange.started:
             record.exchange.begin(status=head.status, headers=self._dialect.answer(head))
         record.exchange.write(b"".join(fresh))
-        self._arrived(record, effect)
+        self._record_event(record, effect)
 
-    def _arrived(self, record: CallRecord, effect: StartAttempt) -> None:
+    def _record_event(self, record: CallRecord, effect: StartAttempt) -> None:
         now = self._clock()
         if record.first_event is None:
             record.first_event = now
@@ -336,15 +340,15 @@
         record.newest_event = now
         self._dispatch(FirstTokenArrived(now=now, call=effect.call, attempt=effect.attempt))
 
-    def _at(self, address: str | None, effect: StartAttempt) -> TargetName | None:
-        """Return which of an attempt's targets has an address, or None."""
+    def _target_at(self, address: str | None, effect: StartAttempt) -> TargetName | None:
+        """Return the attempt's target at an address, or None."""
         listed = self._targets()
         found = (name for name in effect.targets if name in listed)
         return next((name for name in found if listed[name].address == address), None)
 
 
 def _tickets(effect: StartAttempt, targets: list[Target]) -> dict[TargetName, Ticket]:
-    """Return the memory to be set aside, by target; an attempt's ids are its own."""
+    """Return the memory reservations by target; their ids are unique to the attempt."""
     return {
         target.name: Ticket(
             id=f"{effect.call}-{effect.attempt}",
@@ -363,6 +367,6 @@
     return Helper(address=target.address, ticket=ticket.id if ticket else None)
 
 
-def _named(error: TargetError, targets: list[Target]) -> TargetName | None:
-    """Return which target a failure names by its address, or None."""
+def _target_of_error(error: TargetError, targets: list[Target]) -> TargetName | None:
+    """Return the target whose address an error carries, or None."""
     return next((target.name for target in targets if target.address == error.target), None)
--- a/src/azureswitch/gateway/_routes.py
+++ b/src/azureswitch/gateway/_routes.py
@@ -20,10 +20,10 @@
             self._hosts.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, *, host: str, target: str) -> Route | None:
-        """Return the route whose prefix is the longest that begins the path, or None.
+        """Return the route with the longest prefix of the path, or None.
 
-        Every prefix begins and ends with a slash, so that the prefixes of a path are looked up from
-        the longest on, whatever the number of routes.
+        Every prefix begins and ends with a slash, so only the prefixes of the path are looked up,
+        longest first; the cost does not depend on the number of routes.
 
         Args:
             host: The value of ``Host``.
@@ -43,7 +43,7 @@
 
 
 def pick_service(route: Route, *, random: Random) -> ServiceName:
-    """Return the service that a request goes to, by the weights of the route's shares."""
+    """Pick a service at random, weighted by the route's shares."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
--- a/src/azureswitch/gateway/_settings.py
+++ b/src/azureswitch/gateway/_settings.py
@@ -1,4 +1,4 @@
-"""What a gateway process is told at its start."""
+"""The startup settings of a gateway process."""
 
 from math import inf
 
@@ -9,20 +9,20 @@
 
 
 class GatewaySettings(Struct, frozen=True, kw_only=True):
-    """What a gateway process is told at its start.
+    """The startup settings of a gateway process.
 
     Attributes:
         host: The name of its host.
         place: Its failure domain.
         places: All failure domains.
         callers: ``IP:PORT`` on which callers are served.
-        readiness: ``IP:PORT`` on which it says whether it takes new connections.
-        metrics: ``IP:PORT`` on which its metrics and its status are read.
-        grace: Seconds that it has for a graceful stop.
+        readiness: ``IP:PORT`` of the readiness endpoint.
+        metrics: ``IP:PORT`` of the metrics and status pages.
+        grace: Grace period of a stop, in seconds.
         retry_share: Retries permitted per admitted request.
-        retry_burst: Retries permitted beside that over all hosts.
-        hosts: Hosts that the burst is shared among before others are known of.
-        full_hosts: Hosts up to which all hear at once of each other's sends.
+        retry_burst: Additional retries permitted across all hosts.
+        hosts: Number of hosts that share the burst before others are known.
+        full_hosts: Fleet size up to which each host is informed immediately of every send.
     """
 
     host: HostName
--- a/src/azureswitch/gateway/_shell.py
+++ b/src/azureswitch/gateway/_shell.py
@@ -1,4 +1,4 @@
-"""The shell around the serving reducer: hands it events and carries out its effects."""
+"""Drives the serving reducer: dispatches events to it and executes its effects."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -23,7 +23,7 @@
     RequestQuarantined,
     TargetLimited,
 )
-from azureswitch.gateway._notices import Hearing
+from azureswitch.gateway._notices import TargetNotices
 from azureswitch.gateway._ports import Dialect, Published
 from azureswitch.gateway._records import CallRecord
 from azureswitch.gateway._relay import Relay
@@ -56,17 +56,17 @@
 )
 from azureswitch.tasks import Tasks
 
-ATTEMPTS_SECONDS = 0.05
-"""Seconds in which attempts end that are called off as the process ends; each takes a turn."""
+CANCEL_TIMEOUT_SECONDS = 0.05
+"""Timeout in seconds for cancelled attempts to end at shutdown; each takes one loop iteration."""
 
-SUSPENSION_LEAST = 0.05
-"""Seconds of a suspension that are logged at least; the two clocks are read one after the other."""
+MIN_SUSPENSION_SECONDS = 0.05
+"""Shortest suspension that is logged, in seconds; the two clocks are not read simultaneously."""
 
-ROUNDING = 0.001
-"""Seconds by which a deadline is looked at late, lest it be found a moment too early."""
+TIMER_SLACK_SECONDS = 0.001
+"""Seconds added to a deadline timer, so that it does not fire just before the deadline."""
 
-PAUSE_BOUNDS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.4, 0.6, 1.0, 2.0)
-"""Upper bounds of the buckets for pauses, in seconds; callers ask for 0.25 to 1."""
+PAUSE_BOUNDS_SECONDS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.4, 0.6, 1.0, 2.0)
+"""Histogram bucket bounds for stream pauses, in seconds; callers require 0.25 to 1."""
 
 
 class Shell:
@@ -74,12 +74,12 @@
 
     Args:
         state: The reducer's state.
-        dialect: The headers towards targets and callers.
-        tickets: Sets memory aside for prompts larger than one engine.
-        targets: Returns the targets that are listed now, by name.
-        publish: Tells the peers what the reducer asks for.
-        metrics: Counts and measures.
-        log: Takes what is decided.
+        dialect: Encodes and decodes the headers exchanged with callers and targets.
+        tickets: Reserves memory for prompts larger than one engine.
+        targets: Returns the listed targets by name.
+        publish: Sends the reducer's messages to the peers.
+        metrics: The metrics registry.
+        log: Receives the log entries.
         clock: Returns seconds of the monotonic clock.
     """
 
@@ -101,14 +101,14 @@
         self._metrics = metrics
         self._log = log
         self._clock = clock
-        self._hearing = Hearing(
+        self._notices = TargetNotices(
             limited=state.limits.knows, dispatch=self.dispatch, log=log, clock=clock
         )
         self._relay = Relay(
             dialect=dialect,
             tickets=tickets,
             targets=targets,
-            hearing=self._hearing,
+            notices=self._notices,
             dispatch=self.dispatch,
             log=log,
             clock=clock,
@@ -121,22 +121,22 @@
 
     @property
     def lag(self) -> float:
-        """Seconds by which the last regular step was late."""
+        """Seconds by which the last tick was late."""
         return self._lag
 
     @property
     def open_calls(self) -> int:
-        """Requests that have not been answered."""
+        """Number of requests that have not been answered."""
         return len(self._records)
 
     @property
     def quarantined(self) -> int:
-        """Requests that are sent to no target, since targets crashed under them."""
+        """Number of requests in quarantine: targets crashed while running them."""
         return self._state.crashes.quarantined()
 
     @property
     def limits(self) -> dict[TargetName, float]:
-        """The requests a second that targets take which name a limit now."""
+        """The advertised rate limits of targets, in requests per second."""
         return self._state.limits.rates(now=self.now)
 
     @property
@@ -145,36 +145,37 @@
         return self._clock()
 
     def submit(self, record: CallRecord) -> bool:
-        """Take a request, and return whether its id was not in use already."""
+        """Start a request and return True, or return False if its id is already in use."""
         call = record.call.id
         if call in self._records:
             return False
         self._records[call] = record
-        record.exchange.on_left(lambda: self._left(call))
-        seconds = max(0.0, self._state.ends_at(record.call) - self.now) + ROUNDING
-        due = asyncio.get_running_loop().call_later(seconds, self._due, call)
+        record.exchange.on_left(lambda: self._caller_left(call))
+        seconds = max(0.0, self._state.ends_at(record.call) - self.now) + TIMER_SLACK_SECONDS
+        due = asyncio.get_running_loop().call_later(seconds, self._deadline_reached, call)
         self._deadlines[call] = due
         if self._loop.busy:
-            # Within another request's event a fault at this one would be told to that one's source,
-            # and this one left open: 5 s without an answer, as seen on loopback.
+            # Dispatched inside another request's event, an error of this request would be raised to
+            # the source of that event and leave this one open (5 s without an answer, seen on
+            # loopback).
             asyncio.get_running_loop().call_soon(self._begin_later, record)
         else:
             self._begin(record)
         return True
 
     def _begin(self, record: CallRecord) -> None:
-        """Hand a request to the reducer."""
+        """Dispatch a request to the reducer."""
         try:
             self.dispatch(CallArrived(now=self.now, call=record.call))
         except Exception:
-            # A fault of ours must not leave it open; the reducer drops what it has by the deadline.
+            # An internal error must not leave it open; the reducer drops its state by the deadline.
             self._records.pop(record.call.id, None)
             for task in record.tasks.values():
                 task.cancel()
             raise
 
     def _begin_later(self, record: CallRecord) -> None:
-        """Hand a request to the reducer unless its caller left, and answer it where that fails."""
+        """Dispatch a request unless its caller disconnected; answer it if dispatching fails."""
         if record.exchange.over:
             self._records.pop(record.call.id, None)
             return
@@ -186,11 +187,11 @@
                 self._fail(record, AzureswitchError())
 
     def dispatch(self, event: ServingEvent) -> None:
-        """Hand an event to the reducer and carry out what it asks for, in order."""
+        """Dispatch an event to the reducer and execute its effects in order."""
         self._loop.dispatch(event)
 
     async def run(self) -> None:
-        """Let time pass for the reducer until cancelled."""
+        """Dispatch periodic ticks to the reducer until cancelled."""
         before = suspended()
         while True:
             pause = until_step(TICK)
@@ -201,9 +202,9 @@
             self.dispatch(Ticked(now=self.now))
 
     def _report_suspension(self, before: float) -> float:
-        """Log what comes on top of an earlier sum of suspensions, and return the new sum."""
+        """Log a suspension since the earlier total, and return the new total in seconds."""
         total = suspended()
-        if total - before >= SUSPENSION_LEAST:
+        if total - before >= MIN_SUSPENSION_SECONDS:
             self._log.write(
                 HostSuspended(seconds=round(total - before, 3), open_requests=self.open_calls)
             )
@@ -213,24 +214,24 @@
         return total
 
     def note_leaving(self, target: Target) -> None:
-        """Send nothing new to a target that leaves."""
+        """Stop sending new requests to a target that is leaving."""
         self.dispatch(TargetLeaving(now=self.now, target=target.name, started=target.started))
 
     def handle_order_answer(self, target: Target, head: HttpHead, *, order: str) -> None:
-        """Take what a target says of itself in the answer to an order."""
-        self._hearing.hear(target, self._dialect.decode_answer(head), id=order)
+        """Apply the target state in the head of an answer to an order."""
+        self._notices.handle(target, self._dialect.decode_answer(head), id=order)
 
     def begin_shutdown(self, *, until: float) -> None:
-        """Begin nothing more that cannot end by a moment of the monotonic clock."""
+        """Refuse requests that cannot end by ``until``, in seconds of the monotonic clock."""
         self.dispatch(ShutdownBegan(now=self.now, until=until))
 
     async def end(self) -> None:
-        """Give each open request its final answer, and wait a moment for its attempts to end."""
+        """Give each open request its final answer and wait briefly for its attempts to end."""
         self.dispatch(GraceEnded(now=self.now))
-        await self._tasks.stop(timeout=ATTEMPTS_SECONDS)
+        await self._tasks.stop(timeout=CANCEL_TIMEOUT_SECONDS)
 
     def report_cut_off(self) -> None:
-        """Log the requests that have no end, as the process ends now."""
+        """Log the requests that are still open when the process exits."""
         for record in self._records.values():
             self._log.write(
                 RequestCutOff(
@@ -243,17 +244,17 @@
                 )
             )
 
-    def _due(self, call: CallId) -> None:
-        """Let the time of a request's deadline pass at once, and not with the next tick."""
+    def _deadline_reached(self, call: CallId) -> None:
+        """Tick at a request's deadline instead of waiting for the next periodic tick."""
         self._deadlines.pop(call, None)
         self.dispatch(Ticked(now=self.now))
 
-    def _left(self, call: CallId) -> None:
+    def _caller_left(self, call: CallId) -> None:
         self.dispatch(CallerLeft(now=self.now, call=call))
 
     @singledispatchmethod
     def _run(self, effect: Effect) -> None:
-        """Do nothing for effects that have no meaning here."""
+        """Ignore effects that do not apply to a gateway."""
 
     @_run.register
     def _(self, effect: StartAttempt) -> None:
@@ -280,7 +281,7 @@
             return
         if effect.error is not None and not record.exchange.over:
             self._fail_or_close(record, effect.error)
-        self._tell(record, effect.error)
+        self._record_outcome(record, effect.error)
 
     @_run.register
     def _(self, effect: PublishDigest) -> None:
@@ -321,15 +322,18 @@
         self._metrics.observe(effect)
 
     def _fail_or_close(self, record: CallRecord, error: AzureswitchError) -> None:
-        """Tell the caller of a failure; where that itself fails, its connection ends."""
+        """Answer the caller with a failure; close the connection if that raises."""
         try:
             self._fail(record, error)
         except Exception:
-            logging.exception("gateway: Request %s was not told of its failure.", record.call.id)
+            logging.exception(
+                "gateway: The failure of request %s could not be sent to its caller.",
+                record.call.id,
+            )
             record.exchange.abort(CloseReason.FAULT)
 
     def _fail(self, record: CallRecord, error: AzureswitchError) -> None:
-        """Tell the caller of a failure; an answer that has begun is broken off."""
+        """Answer the caller with a failure; abort the answer if it has begun."""
         if record.exchange.started:
             record.exchange.abort()
         elif record.fallback is not None:
@@ -337,8 +341,8 @@
         else:
             respond_failure(record.exchange, error, dialect=self._dialect)
 
-    def _tell(self, record: CallRecord, error: AzureswitchError | None) -> None:
-        """Log and count how a request ended."""
+    def _record_outcome(self, record: CallRecord, error: AzureswitchError | None) -> None:
+        """Record the outcome of a request in the log and metrics."""
         seconds = round(self.now - record.started, 3)
         first = 0.0 if record.first_event is None else record.first_event - record.started
         if error is None:
@@ -363,7 +367,7 @@
                 self._metrics.measure(
                     name="pause",
                     help="The most seconds between two events of a stream, by route.",
-                    bounds=PAUSE_BOUNDS,
+                    bounds=PAUSE_BOUNDS_SECONDS,
                     value=record.longest_pause,
                     route=record.route.name,
                 )
@@ -389,7 +393,7 @@
 
 
 def _limit_entry(effect: AnnounceLimit) -> Entry:
-    """Return the line that tells operators of another limit, or of its end."""
+    """Return the log entry for a changed or removed limit."""
     change = effect.change
     before = change.before or 0.0
     age = round(change.age, 3)
@@ -402,7 +406,7 @@
 
 
 def _on_time(record: CallRecord, first: float) -> bool:
-    """Return whether an answer kept its route's objectives, of which there may be none."""
+    """Return whether an answer met its route's objectives; zero means no objective."""
     route = record.route
     prompt = not route.objective or first <= route.objective
     steady = not route.gap_objective or record.longest_pause <= route.gap_objective
--- a/src/azureswitch/gateway/_silence.py
+++ b/src/azureswitch/gateway/_silence.py
@@ -1,4 +1,4 @@
-"""How long a silent target is waited for."""
+"""Detects targets that are silent for too long."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,25 +6,25 @@
 from types import TracebackType
 
 STALL_SECONDS = 0.1
-"""Seconds by which a timer is late where this process stood still; a busy loop is 10 ms late."""
+"""Timer lateness in seconds that counts as a stall of this process; a busy loop is 10 ms late."""
 
-STALL_GRACE = 0.5
-"""Seconds for which a target is waited for again after that.
+STALL_GRACE_SECONDS = 0.5
+"""Seconds of renewed waiting for a target after a stall of this process.
 
-What arrived meanwhile is read within a few milliseconds, and a target writes each 50 ms.
+Data that arrived during the stall is read within milliseconds; a target writes every 50 ms.
 """
 
 
-class Patience:
-    """Calls back each time that a target has been silent for too long, while a block runs.
+class SilenceTimer:
+    """Context manager that calls back whenever a target is silent for too long.
 
-    Time in which this process itself stood still says nothing of the target.  A host that was
-    frozen for twice its patience gave its stream up as it went on, with the events in its socket
-    unread, and ran the request a second time; with this it goes on with the first run.
+    Stalls of this process do not count as silence.  Otherwise a host that was frozen for twice the
+    timeout would abandon its stream on resuming, with events unread in the socket, and run the
+    request a second time.
 
     Args:
-        seconds: For how long, or infinity.
-        silent: Called back.  The target is waited for as long again unless it ends the block.
+        seconds: The timeout, or infinity.
+        silent: The callback.  The timer restarts after each call unless the block is left.
     """
 
     def __init__(self, *, seconds: float, silent: Callable[[], None]) -> None:
@@ -32,7 +32,7 @@
         self._silent = silent
         self._timer: asyncio.Handle | None = None
 
-    def __enter__(self) -> "Patience":
+    def __enter__(self) -> "SilenceTimer":
         self.begin(self._seconds)
         return self
 
@@ -45,13 +45,13 @@
         self.suspend()
 
     def begin(self, seconds: float) -> None:
-        """Wait for so long from now on."""
+        """Restart the timer with a new timeout in seconds."""
         self.suspend()
         self._seconds = seconds
         self._wait(seconds)
 
     def suspend(self) -> None:
-        """Do not wait for the target until `begin`."""
+        """Stop the timer until `begin` is called."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -59,16 +59,16 @@
     def _wait(self, seconds: float) -> None:
         if not isinf(seconds):
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(seconds, self._due, loop.time() + seconds)
+            self._timer = loop.call_later(seconds, self._expired, loop.time() + seconds)
 
-    def _due(self, end: float) -> None:
+    def _expired(self, end: float) -> None:
         loop = asyncio.get_running_loop()
         if loop.time() - end > STALL_SECONDS:
-            self._wait(STALL_GRACE)
+            self._wait(STALL_GRACE_SECONDS)
         else:
-            # It comes in the loop's next turn, after what has been read in this one.
-            self._timer = loop.call_soon(self._tell)
+            # Deferred to the next loop iteration, so that data read in this one is handled first.
+            self._timer = loop.call_soon(self._notify)
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._wait(self._seconds)
         self._silent()
--- a/src/azureswitch/gateway/_stopping.py
+++ b/src/azureswitch/gateway/_stopping.py
@@ -1,13 +1,13 @@
-"""Decides when a process that is told to stop takes which step of it.
+"""State machine of a graceful stop.
 
-A host that leaves is not ready at once, but goes on listening while the balancer still sends it
-callers.  Then it stops listening, closes connections as they become idle, and ends: early where
-nothing is open, or by deciding what is open as its time of grace runs out.
+A leaving host becomes unready immediately, but keeps listening while the load balancer still sends
+it callers.  Then it stops listening, closes connections as they become idle, and exits: early if
+nothing is open, otherwise after ending the open requests when the grace period expires.
 
-The hosts of a failure domain are often restarted in quick series.  The balancer leaves out hosts
-that are not ready only while half of their domain is; with fewer it sends callers to all of them,
-whether they listen or not.  So hosts that leave together stop listening one after the other,
-in the order of their names, as far as the time of grace permits.
+The hosts of a failure domain are often restarted in quick succession.  The load balancer excludes
+unready hosts only while at least half of their domain is ready; otherwise it sends callers to all
+of them, listening or not.  So hosts that leave together stop listening one after the other, in the
+order of their names, as far as the grace period permits.
 """
 
 from collections.abc import Iterable
@@ -20,26 +20,26 @@
 from azureswitch.serving import TURNED_SECONDS
 
 LINGER_SECONDS = TURNED_SECONDS
-"""Seconds for which a leaving process listens at least."""
+"""Minimum seconds for which a leaving process keeps listening."""
 
 CLOSE_MARGIN = 2.0
-"""Seconds before the end in which a process does not listen any more: most requests take less."""
+"""Seconds before the end at which a process stops listening; most requests take less."""
 
 EXIT_MARGIN = 0.4
-"""Seconds before the process would be killed at which it ends of itself."""
+"""Seconds before it would be killed at which the process exits by itself."""
 
 FLUSH_SECONDS = 0.15
-"""Seconds in which the answers that are given at the end leave; callers are within 10 ms."""
+"""Seconds for sending the final answers; callers are within 10 ms."""
 
 
 class Neighbours(Struct, frozen=True, kw_only=True):
-    """The other hosts of the same failure domain, as far as is known.
+    """Counts of the known other hosts of the same failure domain.
 
     Attributes:
-        known: How many there are, whatever they do.
-        ready: How many take new connections.
-        before: How many leave as well and stop listening before this one.
-        after: How many leave as well and listen for longer than this one.
+        known: All of them, in any state.
+        ready: Those that accept new connections.
+        before: Leaving hosts that stop listening before this one.
+        after: Leaving hosts that stop listening after this one.
     """
 
     known: int = 0
@@ -49,12 +49,12 @@
 
 
 def neighbours_of(host: HostName, place: PlaceName, members: Iterable[Member]) -> Neighbours:
-    """Return what the hosts of a failure domain do, but for one of them.
+    """Count the other hosts of a host's failure domain by state.
 
     Args:
-        host: The one.
+        host: The host that is left out.
         place: The failure domain.
-        members: All hosts that are known of.
+        members: All known hosts.
     """
     others = [m for m in members if m.place == place and m.incarnation.host != host]
     leaving = [m.incarnation.host for m in others if m.status is MemberStatus.LEAVING]
@@ -68,7 +68,7 @@
 
 
 class Phase(Enum):
-    """How far a stop has come."""
+    """The phases of a stop."""
 
     LISTENING = "new connections are taken"
     CLOSING = "no new connections are taken, and idle ones are closed"
@@ -77,7 +77,7 @@
 
 
 class StopObserved(Event, frozen=True, kw_only=True):
-    """What a stopping process sees of itself and of its neighbours.
+    """The observed state of a stopping process and its neighbours.
 
     Attributes:
         connections: Connections of callers that are open.
@@ -92,7 +92,7 @@
 
 
 class CloseListener(Effect, frozen=True, kw_only=True):
-    """Take no new connections."""
+    """Stop accepting new connections."""
 
 
 class CloseIdle(Effect, frozen=True, kw_only=True):
@@ -104,17 +104,18 @@
 
 
 class Stopping(Struct, kw_only=True):
-    """A stop under way, in seconds of the monotonic clock.
+    """The state of a stop; times are in seconds of the monotonic clock.
 
     Attributes:
         told: When the process was told to stop.
-        end: When what is still open is decided.
-        phase: How far it has come.
-        phase_since: Since when.
-        known: Most neighbours known of at one look.  One whose process has ended is not among them
-            until the next one listens, but the balancer counts it.  Else a host whose only
-            neighbour is being loaded takes itself for alone, and nobody listens for that second,
-            as the model of stops shows with two hosts that are stopped at once.
+        end: When the requests that are still open are ended.
+        phase: The current phase.
+        phase_since: When it began.
+        known: The most neighbours known at any observation.  A neighbour that has exited is not
+            known until its next process listens, but the load balancer still counts it.  Without
+            this maximum a host whose only neighbour is starting would consider itself alone, and
+            for that second no host would listen; the model of stops shows this with two hosts
+            that are stopped at once.
     """
 
     told: float
@@ -125,26 +126,26 @@
 
 
 def begin_stop(*, now: float, grace: float, told: float | None = None) -> Stopping:
-    """Return a stop that begins.
+    """Return the initial state of a stop.
 
     Args:
         now: The time, in seconds of the monotonic clock.
-        grace: Seconds from the order until the process would be killed.
-        told: When the order was given, where that was before now.
+        grace: Seconds from the stop order until the process would be killed.
+        told: When the stop was ordered, if before ``now``.
     """
     since = now if told is None else told
     return Stopping(told=since, end=since + max(0.0, grace - EXIT_MARGIN), phase_since=now)
 
 
 def advance(stop: Stopping, event: StopObserved) -> Effects:
-    """Take the steps of a stop that are due.
+    """Advance a stop and return the effects that are due.
 
     Args:
         stop: The stop, which is updated in place.
-        event: What is seen now.
+        event: The current observation.
 
     Returns:
-        What is to be done, in order.
+        The effects to execute, in order.
     """
     effects: list[Effect] = []
     stop.known = max(stop.known, event.neighbours.known)
@@ -160,7 +161,7 @@
         effects.append(EndRequests())
         return effects
     flushed = stop.phase is Phase.FLUSHING and event.now >= stop.phase_since + FLUSH_SECONDS
-    # Callers who wait to connect are taken as the listener is closed, after this was seen.
+    # Closing the listener accepts the pending connections, which this observation does not count.
     idle = not (closes or event.connections or event.open_requests)
     if flushed or idle:
         _enter(stop, Phase.OVER, now=event.now)
@@ -173,11 +174,12 @@
 
 
 def _may_close(stop: Stopping, event: StopObserved) -> bool:
-    """Return whether to stop listening: callers go elsewhere, it is this host's turn, or late."""
+    """Return whether to stop listening: out of rotation, this host's turn, or time running out."""
     span = stop.end - stop.told
     if event.now >= stop.end - min(CLOSE_MARGIN, span / 2.0):
         return True
-    # Not from the order: a process that has just been loaded knows none of its neighbours yet.
+    # Counted from the phase, not from the order: a process that has just started knows no
+    # neighbours yet.
     if event.now < stop.phase_since + min(LINGER_SECONDS, span / 2.0):
         return False
     others = event.neighbours
--- a/src/azureswitch/gateway/_tickets.py
+++ b/src/azureswitch/gateway/_tickets.py
@@ -1,8 +1,8 @@
-"""Holds memory on engines for a prompt that is larger than one of them.
+"""Reserves memory on engines for prompts that are larger than one engine.
 
-Memory is set aside for a few seconds and renewed while it is in use.  So what a process held that
-died, or what an engine sets aside late, after its caller has given up, is free again within
-`HOLD_SECONDS` without anybody's doing.
+A reservation is a lease of a few seconds that is renewed while in use.  The reservations of a
+process that died, or one that an engine made after its caller gave up, thus expire within
+`HOLD_SECONDS`.
 """
 
 import asyncio
@@ -18,25 +18,25 @@
 from azureswitch.tasks import Tasks
 
 HOLD_SECONDS = 3.5
-"""Seconds for which memory is set aside; it must be free 4 s after its last use."""
+"""Lease duration in seconds; memory must be free 4 s after its last use."""
 
 RENEW_SECONDS = 1.4
-"""Seconds between two renewals, so that one may be lost."""
+"""Seconds between renewals; one renewal may be lost."""
 
 
 RELEASE_SECONDS = 0.2
-"""Seconds for which an attempt waits for what earlier ones of its call held to be free, at most."""
+"""Maximum wait in seconds for memory of earlier attempts of the same call to be released."""
 
 
 class Ticket(Struct, frozen=True, kw_only=True):
-    """Memory set aside on one engine.
+    """A memory reservation on one engine.
 
     Attributes:
-        id: Its id, unique over all hosts.
+        id: The id, unique across all hosts.
         target: The engine.
-        started: Its start, in milliseconds of its wall clock, or zero where it does not say.
+        started: The engine's start, in milliseconds of its wall clock, or zero if unknown.
         address: ``IP:PORT`` of the engine.
-        tokens: How much.
+        tokens: The reserved memory, in tokens.
     """
 
     id: str
@@ -47,11 +47,11 @@
 
 
 class Tickets:
-    """Sets memory aside, all or nothing.
+    """Reserves memory on several engines, all or nothing.
 
     Args:
-        reservations: The engines' own way of doing so.
-        started: Returns the start known of an engine, or zero.
+        reservations: The reservation calls of the engines.
+        started: Returns the known start of an engine, or zero.
     """
 
     def __init__(self, *, reservations: Reservations, started: Callable[[TargetName], int]) -> None:
@@ -63,28 +63,28 @@
 
     @property
     def held(self) -> int:
-        """How many tickets are held now."""
+        """The number of tickets held."""
         return self._held
 
     async def stop(self, *, timeout: float) -> None:
-        """Release what is held no more, for some seconds at most, and call off the rest."""
+        """Wait up to ``timeout`` seconds for pending releases, and cancel the rest."""
         await self._tasks.settle(timeout=timeout)
         await self._tasks.stop(timeout=timeout)
 
     @asynccontextmanager
     async def hold(self, tickets: Iterable[Ticket], *, call: CallId) -> AsyncIterator[None]:
-        """Hold memory for as long as the block runs.
+        """Hold memory while the block runs.
 
-        Nothing waits for memory that others hold: two hosts that each have a part of what the
-        other one needs would wait for ever.  What earlier attempts of the same request held is
-        about to be free, and is waited for.
+        Memory held by other requests is not waited for, since two hosts that each hold part of
+        what the other needs would deadlock.  Memory held by earlier attempts of the same request
+        is about to be released, and is waited for.
 
         Args:
-            tickets: The memory.
-            call: The request that needs it.
+            tickets: The reservations to make.
+            call: The request that needs them.
 
         Raises:
-            TargetError: An engine has no room or does not answer; nothing is held then.
+            TargetError: An engine has no room or does not answer; nothing stays reserved.
         """
         wanted = tuple(tickets)
         if not wanted:
@@ -93,7 +93,7 @@
         renewals: asyncio.Task[None] | None = None
         self._held += len(wanted)
         try:
-            await self._until_released(call)
+            await self._wait_for_releases(call)
             await self._reserve(wanted)
             renewals = asyncio.create_task(self._renew(wanted))
             yield
@@ -101,23 +101,23 @@
             self._held -= len(wanted)
             if renewals is not None:
                 renewals.cancel()
-            # In the background, since the block may be left because its task is called off.
-            self._give_back(wanted, call=call)
+            # In the background, since the block may be left by cancellation of its task.
+            self._release_in_background(wanted, call=call)
 
-    async def _until_released(self, call: CallId) -> None:
-        """Wait a moment until memory that earlier attempts of a request held is free."""
+    async def _wait_for_releases(self, call: CallId) -> None:
+        """Wait briefly for the releases of earlier attempts of the same request."""
         if call in self._releases:
             await asyncio.wait(self._releases[call], timeout=RELEASE_SECONDS)
 
-    def _give_back(self, tickets: tuple[Ticket, ...], *, call: CallId) -> None:
+    def _release_in_background(self, tickets: tuple[Ticket, ...], *, call: CallId) -> None:
         task = self._tasks.spawn(self._release(tickets), name="release")
         self._releases.setdefault(call, set()).add(task)
         task.add_done_callback(lambda done: self._forget(call, done))
 
     def _forget(self, call: CallId, task: asyncio.Task[None]) -> None:
-        under_way = self._releases[call]
-        under_way.discard(task)
-        if not under_way:
+        pending = self._releases[call]
+        pending.discard(task)
+        if not pending:
             del self._releases[call]
 
     async def _reserve(self, tickets: tuple[Ticket, ...]) -> None:
@@ -139,24 +139,24 @@
             try:
                 await self._reserve(tuple(filter(self._is_held, tickets)))
             except TargetError as error:
-                # The next renewal comes in time; without it the engine ends the request itself.
+                # The next renewal is still in time; if it fails too, the engine ends the request.
                 logging.warning("tickets: Memory was not renewed: %s", error)
 
     def _is_held(self, ticket: Ticket) -> bool:
         """Return whether an engine may still hold a ticket.
 
-        One that has started again holds nothing, and would take a renewal for a new reservation:
-        memory that nobody uses, until the attempt ends.  A release is harmless there.
+        A restarted engine holds nothing and would treat a renewal as a new reservation, which
+        would block unused memory until the attempt ends.  A release is harmless there.
         """
         return not 0 < ticket.started < self._started(ticket.target)
 
     async def _release(self, tickets: tuple[Ticket, ...]) -> None:
-        """Free memory on all engines at once; one that does not answer holds up no other."""
+        """Release memory on all engines concurrently; an unresponsive one delays no other."""
         await asyncio.gather(*map(self._release_one, tickets))
 
     async def _release_one(self, ticket: Ticket) -> None:
         try:
             await self._reservations.release(address=ticket.address, ticket=ticket.id)
         except TargetError as error:
-            # It is free after `HOLD_SECONDS` all the same.
+            # The lease expires after `HOLD_SECONDS` anyway.
             logging.info("tickets: Ticket %s was not released: %s", ticket.id, error)
--- a/tests/gateway/fixtures.py
+++ b/tests/gateway/fixtures.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback before targets that do as they are told."""
+"""A gateway on loopback in front of fake targets with scripted behaviour."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Iterable
@@ -29,7 +29,7 @@
 from azureswitch.status import ForeignCollection
 
 PATIENCE = 20.0
-"""Seconds that a test waits for what must happen, however busy the machine is."""
+"""Seconds that a test waits for an expected event, even on a busy machine."""
 
 SEAL: Headers = (("x-azureswitch-response-seal", "seal"),)
 
@@ -39,7 +39,7 @@
 
 
 class Act(Enum):
-    """What a target does with a request."""
+    """How a target handles a request."""
 
     ANSWER = "answers"
     FAIL = "runs it and answers with a failure of its own"
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Fleet:
-    """Targets that share a script: what is done with the requests in the order of their arrival."""
+    """Targets that share a script of acts, applied to requests in order of arrival."""
 
     acts: list[Act] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
@@ -82,18 +82,18 @@
     times: dict[str, list[float]] = field(default_factory=dict)
 
     def next_act(self) -> Act:
-        """Return what is done with the next request; all is answered once the script is over."""
+        """Return the act for the next request: the next one scripted, or else `Act.ANSWER`."""
         self.arrivals += 1
         return self.acts.pop(0) if self.acts else Act.ANSWER
 
 
 class FakeTarget:
-    """One target over HTTP.
+    """A target that is served over HTTP.
 
     Args:
-        name: Its name, which requests must expect.
+        name: Its name, which requests must carry.
         fleet: The script.
-        streams: Whether it answers by events.
+        streams: Whether it answers with server-sent events.
     """
 
     def __init__(self, *, name: str, fleet: Fleet, streams: bool) -> None:
@@ -105,12 +105,12 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """What a connection may ask."""
+        """The limits on connections."""
         return CallerLimits()
 
     @property
     def closing(self) -> bool:
-        """Connections are kept."""
+        """Whether connections are closed after an answer; always False."""
         return False
 
     @property
@@ -123,19 +123,19 @@
         await self._server.start(address="127.0.0.1:0")
 
     def stop(self) -> None:
-        """Stop, and break what runs."""
+        """Stop listening and abort open requests."""
         self._server.stop_listening()
         self._server.abort()
 
     def refuse(self, exchange: Exchange, error: AzureswitchError) -> None:
-        """Answer what is no request."""
+        """Answer 400 to invalid requests."""
         exchange.respond(status=400, headers=(), body=b"")
 
     def handle(self, exchange: Exchange) -> None:
-        """Do with a request what the script says."""
+        """Handle a request according to the script."""
         headers = dict(exchange.request.headers)
         act = self._fleet.next_act()
-        said = self._said()
+        said = self._state_headers()
         self._fleet.times.setdefault(self._name, []).append(monotonic())
         if headers.get("x-azureswitch-target-instance") != self._name:
             exchange.respond(status=421, headers=said, body=b"")
@@ -156,8 +156,8 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _said(self) -> Headers:
-        """Return what it says of itself in each answer."""
+    def _state_headers(self) -> Headers:
+        """Return the headers with which each answer reports the target's state."""
         leaving: Headers = (("server-leaving", "1"),) if self._name in self._fleet.leaving else ()
         limit = self._fleet.limits.get(self._name)
         return leaving if limit is None else (*leaving, ("server-limit", limit))
@@ -209,14 +209,14 @@
 
 
 class RecordingLog(Log):
-    """Keeps what is logged."""
+    """A log that records its entries."""
 
     def __init__(self) -> None:
         super().__init__()
         self.entries: list[Entry] = []
 
     def write(self, entry: Entry) -> None:
-        """Keep an entry."""
+        """Record an entry."""
         self.entries.append(entry)
 
     def about(self, request: str) -> list[str]:
@@ -224,19 +224,19 @@
         return [entry.sentence for entry in self.entries if entry.request == request]
 
 
-FOREVER = 3_600.0
+FOREVER_SECONDS = 3_600.0
 
 
 class FakeReservations:
-    """Engines' memory, which is counted.
+    """In-memory reservations of engines' memory.
 
     Attributes:
-        held: What is set aside now, by address and ticket.
-        asked: How often memory was asked for.
-        delay: Seconds that freeing it takes.
-        failing: How engines fail, by their address.
-        room: Tokens for which an engine has room, or None for any.
-        deaf: Addresses of engines that never answer a release.
+        held: Reserved tokens by address and ticket.
+        asked: Number of reservation calls.
+        delay: Seconds that a release takes.
+        failing: The error that an engine raises, by its address.
+        room: Capacity of each engine in tokens, or None for no limit.
+        unresponsive: Addresses of engines that never answer a release.
     """
 
     def __init__(self) -> None:
@@ -245,10 +245,10 @@
         self.delay = 0.0
         self.failing: dict[str, type[TargetError]] = {}
         self.room: int | None = None
-        self.deaf: set[str] = set()
+        self.unresponsive: set[str] = set()
 
     async def reserve(self, *, address: str, ticket: str, tokens: int, seconds: float) -> None:
-        """Set memory aside."""
+        """Reserve memory."""
         self.asked += 1
         if address in self.failing:
             raise self.failing[address](target=address)
@@ -259,13 +259,13 @@
         self.held[address, ticket] = tokens
 
     async def release(self, *, address: str, ticket: str) -> None:
-        """Free it."""
-        await asyncio.sleep(FOREVER if address in self.deaf else self.delay)
+        """Release a reservation."""
+        await asyncio.sleep(FOREVER_SECONDS if address in self.unresponsive else self.delay)
         self.held.pop((address, ticket), None)
 
 
 def event(number: int, *, padding: int = 0) -> bytes:
-    """Return an event of a stream."""
+    """Return one event of a stream."""
     return f"id: {number}\ndata: token {number}{'x' * padding}\n\n".encode()
 
 
@@ -275,7 +275,7 @@
 
 
 def route(kind: RouteKind, *, prefix: str, service: str, **more: object) -> Route:
-    """Return a route of the one host."""
+    """Return a route of the host ``a.example``."""
     fields: dict[str, object] = {"timeout": 5.0, "runs": 2, **more}
     return Route(
         name=prefix,
@@ -297,7 +297,7 @@
 
 
 def deployment(version: int = 1, **more: object) -> Deployment:
-    """Return a configuration with the usual routes."""
+    """Return a configuration with the default routes."""
     fields: dict[str, object] = {"routes": ROUTES, "customers": CUSTOMERS, **more}
     return Deployment(
         version=version,
@@ -311,7 +311,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Bed:
-    """A gateway and what stands behind it."""
+    """A gateway with its fake targets and reservations."""
 
     gateway: Gateway
     metrics: Metrics
@@ -328,7 +328,7 @@
         body: bytes = b"body",
         headers: Iterable[tuple[str, str]] = (),
     ) -> HttpAnswer:
-        """Send a request as ann and return its whole answer."""
+        """Send a request as customer ann and return the complete answer."""
         client = HttpClient(address=self.gateway.callers_address)
         try:
             return await client.request(
@@ -343,7 +343,7 @@
 
 
 def usual_headers(id: str) -> Headers:
-    """Return the headers of a request of ann's."""
+    """Return the headers of a request by customer ann."""
     return (
         ("host", "a.example"),
         ("x-azureswitch-attempt-id", id),
@@ -353,12 +353,12 @@
 
 
 def model_headers(*, prompt: int = 1_000, output: int = 100) -> Headers:
-    """Return the headers of a prompt."""
+    """Return the headers of a model request."""
     return (("x-azureswitch-model", "m"), ("x-azureswitch-token-counts", f"{prompt},{output}"))
 
 
 def listed(target: FakeTarget, name: str, *, streams: bool) -> Target:
-    """Return the entry of a target."""
+    """Return the list entry of a fake target."""
     return Target(
         name=TargetName(name),
         service=ServiceName("pool" if streams else "plain"),
@@ -382,7 +382,7 @@
     members: Callable[[], Iterable[Member]] = tuple,
     foreign: Callable[[], tuple[ForeignCollection, ...]] = tuple,
 ) -> Gateway:
-    """Return a gateway that has not started."""
+    """Return a gateway that has not been started."""
     return Gateway(
         settings=GatewaySettings(
             host=HostName("h1"),
@@ -421,7 +421,7 @@
     members: Callable[[], Iterable[Member]] = tuple,
     foreign: Callable[[], tuple[ForeignCollection, ...]] = tuple,
 ) -> AsyncIterator[Bed]:
-    """Serve with some targets of each service, alike in what they do."""
+    """Run a gateway with ``count`` targets of each service, all following one script."""
     fleet = Fleet(acts=list(acts))
     reservations = FakeReservations()
     metrics = Metrics()
--- a/tests/gateway/test_deadline.py
+++ b/tests/gateway/test_deadline.py
@@ -1,4 +1,4 @@
-"""A request is ended right before its deadline: in time for its caller, and no sooner."""
+"""Tests that a request is ended just before its deadline, and no earlier."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from tests.gateway.fixtures import PATIENCE, Act, RecordingLog, deployment, route, serve
 
 SECONDS = 0.5
-"""What the route permits."""
+"""The route's timeout."""
 
 MARGIN = 0.02
 """Seconds before its deadline at which a request may be ended."""
@@ -20,14 +20,14 @@
 
 
 def configure(gateway: Gateway) -> None:
-    """Give requests little time."""
+    """Configure a route with a short timeout."""
     lookups = route(RouteKind.IDEMPOTENT, prefix="/read/", service="plain", timeout=SECONDS)
     gateway.adopt(deployment(routes=(lookups,)))
 
 
 @pytest.mark.parametrize("tick", [_shell.TICK, PATIENCE])
 def test_silent(tick: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is not failed while its answer could come in time, and does not wait for a tick."""
+    """A request does not fail before its deadline, nor wait for the next tick after it."""
 
     async def scenario() -> None:
         monkeypatch.setattr(_shell, "TICK", tick)
--- a/tests/gateway/test_faults.py
+++ b/tests/gateway/test_faults.py
@@ -1,4 +1,4 @@
-"""A fault of this program at one request costs that request alone, which is told of it."""
+"""Tests that an internal error fails only the request it occurs in, which gets an answer."""
 
 import asyncio
 from http import HTTPStatus
@@ -11,34 +11,34 @@
 from tests.gateway.fixtures import PATIENCE, Act, serve, usual_headers
 
 MILLISECONDS_LEFT = "500"
-"""Milliseconds that the first caller has, after which its request is answered as out of time."""
+"""Milliseconds until the first request exceeds its deadline."""
 
 refusal = _reduce.refusal
 
 
-def faulty(state: ServingState, call: Call, *, now: float) -> AzureswitchError | None:
-    """Fail at the second request."""
+def failing_refusal(state: ServingState, call: Call, *, now: float) -> AzureswitchError | None:
+    """Raise for the second request."""
     if call.id == CallId("r2"):
         raise RuntimeError
     return refusal(state, call, now=now)
 
 
 def request(id: str, **more: str) -> bytes:
-    """Return the bytes of a lookup with little time."""
+    """Return the bytes of a request with a short deadline."""
     headers = {**dict(usual_headers(id)), "x-azureswitch-time-remaining": MILLISECONDS_LEFT, **more}
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return f"GET /read/ HTTP/1.1\r\n{lines}\r\n".encode()
 
 
 class TestBehindAnother:
-    """Requests that stand behind another one on their connection."""
+    """Requests pipelined behind another one on the same connection."""
 
     def test_fault(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """One that cannot be taken as the one before it fails is answered, and not left open."""
+        """An internal error while a pipelined request is dispatched is answered."""
 
         async def scenario() -> None:
             async with asyncio.timeout(PATIENCE), serve(acts=(Act.HANG, Act.HANG)) as bed:
-                monkeypatch.setattr(_reduce, "refusal", faulty)
+                monkeypatch.setattr(_reduce, "refusal", failing_refusal)
                 host, port = bed.gateway.callers_address.split(":")
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(request("r1") + request("r2", connection="close"))
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway over loopback: what callers get and what targets run, whatever targets do."""
+"""Tests of a gateway over loopback: what callers receive and targets run under failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -43,10 +43,10 @@
 
 
 class TestPlain:
-    """Calls to plain services."""
+    """Requests to plain services."""
 
-    def test_passed_on(self) -> None:
-        """Both sides get what the other sent, but for keys and what concerns one connection."""
+    def test_forwarded(self) -> None:
+        """Requests and answers are forwarded unchanged, except keys and hop-by-hop headers."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -88,7 +88,7 @@
         ],
     )
     def test_failures(self, path: str, acts: list[Act], status: HTTPStatus, runs: int) -> None:
-        """What may repeat is tried again; what may not runs once; the caller gets one answer."""
+        """Repeatable requests are retried, others run once; the caller gets one answer."""
 
         async def scenario() -> None:
             async with serve(acts=acts) as bed:
@@ -101,8 +101,8 @@
         run(scenario)
 
     @pytest.mark.parametrize("path", ["/read/", "/book/"])
-    def test_promise(self, path: str) -> None:
-        """Where every target refuses, the caller is told at once that it did not run."""
+    def test_all_refuse(self, path: str) -> None:
+        """If every target refuses, the caller is told that the request did not run."""
 
         async def scenario() -> None:
             async with serve(acts=[Act.REFUSE] * 40) as bed:
@@ -114,7 +114,7 @@
         run(scenario)
 
     def test_deadline(self) -> None:
-        """A call that its target does not answer is ended in its time."""
+        """A request that its target does not answer ends with a timeout at its deadline."""
 
         async def scenario() -> None:
             async with serve(acts=[Act.HANG]) as bed:
@@ -125,7 +125,7 @@
 
 
 class TestStreams:
-    """Streams of events."""
+    """Streams of server-sent events."""
 
     @pytest.mark.parametrize(
         ("acts", "runs"),
@@ -141,7 +141,7 @@
         ],
     )
     def test_whole(self, acts: list[Act], runs: int) -> None:
-        """A stream that may be resumed arrives whole and in order, with its first head."""
+        """A resumable stream arrives complete and in order, with the head of its first answer."""
 
         async def scenario() -> None:
             async with serve(acts=acts) as bed:
@@ -156,7 +156,7 @@
 
     @pytest.mark.parametrize("second", [Act.REJECT, Act.FAIL, Act.CLOSE])
     def test_not_resumed(self, second: Act) -> None:
-        """A stream that goes on nowhere is broken off at once, and does not look complete."""
+        """A stream that cannot be resumed is aborted at once and does not look complete."""
 
         async def scenario() -> None:
             async with serve(acts=[Act.BREAK, second]) as bed:
@@ -167,8 +167,8 @@
 
         run(scenario)
 
-    def test_goes_on(self) -> None:
-        """A caller that has some events gets the others."""
+    def test_resumed_by_caller(self) -> None:
+        """A caller that already has some events gets only the remaining ones."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -180,7 +180,7 @@
 
     @pytest.mark.parametrize("act", [Act.BREAK, Act.TEAR])
     def test_broken(self, act: Act) -> None:
-        """A stream that may not be resumed runs once, and does not look complete."""
+        """A broken stream that is not resumable runs once and does not look complete."""
 
         async def scenario() -> None:
             async with serve(acts=[act]) as bed:
@@ -191,8 +191,8 @@
         run(scenario)
 
     @pytest.mark.parametrize("path", ["/ask/", "/once/"])
-    def test_left(self, path: str) -> None:
-        """The work behind a caller that left is called off, also where it may not be resumed."""
+    def test_caller_left(self, path: str) -> None:
+        """If the caller disconnects, its stream is cancelled at the target, resumable or not."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -207,7 +207,7 @@
 
     @pytest.mark.parametrize(("pause", "on_time"), [(0.0, "true"), (0.4, "false")])
     def test_pauses(self, pause: float, on_time: str) -> None:
-        """A stream that pauses for longer than its route's objective counts as late."""
+        """A stream with a pause longer than the route's objective is counted as late."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -222,8 +222,8 @@
         run(scenario)
 
     @pytest.mark.parametrize("path", ["/ask/", "/once/"])
-    def test_frozen(self, path: str) -> None:
-        """A host that stood still goes on with its streams, and does not blame their targets."""
+    def test_host_stalled(self, path: str) -> None:
+        """After a stall of its own, a host continues its streams and does not retry them."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -240,7 +240,7 @@
 
     @pytest.mark.parametrize(("prompt", "holders"), [(100_000, 0), (600_000, 1), (900_000, 2)])
     def test_memory(self, prompt: int, holders: int) -> None:
-        """Memory is set aside for what one engine cannot hold, and is free again at the end."""
+        """Memory is reserved for prompts that exceed one engine, and released at the end."""
 
         async def scenario() -> None:
             async with serve(count=4) as bed:
@@ -255,7 +255,7 @@
 
     @pytest.mark.parametrize("fails", [TargetRefusedError, TargetBrokenError])
     def test_memory_refused(self, fails: type[TargetError]) -> None:
-        """Where an engine has no room or does not answer, others are tried and nothing is held."""
+        """If a reservation fails, other engines are tried and no memory stays reserved."""
 
         async def scenario() -> None:
             async with serve(count=4) as bed:
@@ -267,7 +267,7 @@
         run(scenario)
 
     def test_slow_caller(self) -> None:
-        """A caller that reads slowly is not taken for a target that is silent."""
+        """A slowly reading caller is not mistaken for a silent target."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -289,8 +289,8 @@
 
         run(scenario)
 
-    def test_fault_of_ours(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A fault of this program ends a request at once, and not at its deadline."""
+    def test_internal_error(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """An internal error ends a request at once, not at its deadline."""
 
         def decode_answer(self: PlatformDialect, head: HttpHead) -> AnswerInfo:
             raise RuntimeError
@@ -307,7 +307,7 @@
 
 
 class TestCallers:
-    """What callers may ask."""
+    """Validation and routing of callers' requests."""
 
     @pytest.mark.parametrize(
         ("path", "headers", "status"),
@@ -326,7 +326,7 @@
     def test_refused(
         self, path: str, headers: tuple[tuple[str, str], ...], status: HTTPStatus
     ) -> None:
-        """What is not allowed has its status and runs nowhere."""
+        """Refused requests get the matching status and run on no target."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -342,7 +342,7 @@
         run(scenario)
 
     def test_body_limit(self) -> None:
-        """A body over the limit is refused."""
+        """A body larger than the limit is refused."""
 
         async def scenario() -> None:
             limits = CallerLimits(body_bytes=10)
@@ -353,7 +353,7 @@
         run(scenario)
 
     def test_unconfigured(self) -> None:
-        """A process without a configuration refuses, and is not ready."""
+        """A gateway without a configuration refuses requests and is not ready."""
 
         async def scenario() -> None:
             async with serve(configure=lambda gateway: None) as bed:
@@ -379,7 +379,7 @@
         ],
     )
     def test_malformed(self, data: bytes, status: bytes) -> None:
-        """Bytes that are no request, or not a whole one in its time, are refused."""
+        """Malformed requests, and ones not complete within the timeout, are refused."""
 
         async def scenario() -> None:
             limits = CallerLimits(header_seconds=0.1)
@@ -395,7 +395,7 @@
         run(scenario)
 
     def test_pipelined(self) -> None:
-        """Requests sent at once on one connection are answered in their order."""
+        """Pipelined requests are answered in order."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -432,10 +432,10 @@
 
 
 class TestStart:
-    """How a gateway begins to serve."""
+    """Startup of a gateway."""
 
     def test_waiting_callers(self) -> None:
-        """Who connects while the program is still being loaded is answered."""
+        """Callers that connected to the socket before startup are answered."""
 
         async def scenario() -> None:
             listener = create_server(("127.0.0.1", 0))
@@ -454,7 +454,7 @@
     """A graceful stop."""
 
     def test_cuts_nothing_short(self) -> None:
-        """What runs ends whole, later requests are served, and the process is not ready."""
+        """Running requests complete, later ones are served, and the process is not ready."""
 
         async def scenario() -> None:
             async with serve() as bed:
--- a/tests/gateway/test_leaving.py
+++ b/tests/gateway/test_leaving.py
@@ -1,4 +1,4 @@
-"""A target that says in an answer that it leaves gets nothing new from who passed the answer on."""
+"""Tests that a gateway sends no new requests to a target that announced its leaving."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,11 +11,11 @@
 from tests.gateway.fixtures import Act, Bed, listed, model_headers, serve
 
 TRIES = 12
-"""Requests that are sent after the answer, enough for each target to get some."""
+"""Number of requests sent, enough for each target to receive some."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Kind:
+class RequestKind:
     """A kind of request, and the targets that serve it."""
 
     path: str
@@ -23,19 +23,19 @@
     streams: bool
 
 
-READ = Kind(path="/read/", prefix="s", streams=False)
-BOOK = Kind(path="/book/", prefix="s", streams=False)
-ASK = Kind(path="/ask/", prefix="e", streams=True)
+READ = RequestKind(path="/read/", prefix="s", streams=False)
+BOOK = RequestKind(path="/book/", prefix="s", streams=False)
+ASK = RequestKind(path="/ask/", prefix="e", streams=True)
 
 
-async def ask(bed: Bed, kind: Kind, id: str) -> int:
+async def ask(bed: Bed, kind: RequestKind, id: str) -> int:
     """Send a request and return the status of its answer."""
     headers = model_headers() if kind.streams else ()
     return (await bed.ask(kind.path, id=id, headers=headers)).head.status
 
 
-async def reached(bed: Bed, kind: Kind, *, tries: int = TRIES) -> set[str]:
-    """Return the targets that some requests reach, all of them sent at once."""
+async def reached(bed: Bed, kind: RequestKind, *, tries: int = TRIES) -> set[str]:
+    """Send some requests concurrently and return the targets that ran them."""
     bed.fleet.runs.clear()
     number = bed.fleet.arrivals
     await asyncio.gather(*(ask(bed, kind, f"t{number}-{index}") for index in range(tries)))
@@ -43,7 +43,7 @@
 
 
 def entries(bed: Bed, *, started: int = 0) -> tuple[Target, ...]:
-    """Return the targets as the store lists them, all of them in service."""
+    """Return all targets as the store lists them, in service."""
     half = len(bed.targets) // 2
     return tuple(
         replace(listed(target, f"{prefix}{index}", streams=prefix == "e"), started=started)
@@ -52,8 +52,8 @@
     )
 
 
-async def learn(bed: Bed, kind: Kind, leaving: set[str]) -> None:
-    """Let targets say that they leave until the gateway has passed on an answer of each."""
+async def announce_leaving(bed: Bed, kind: RequestKind, leaving: set[str]) -> None:
+    """Make targets announce that they leave until the gateway has an answer from each."""
     bed.fleet.leaving = leaving
     seen: set[str] = set()
     while not leaving <= seen:
@@ -61,12 +61,12 @@
 
 
 class TestLeaving:
-    """What a target gets once it has said that it leaves."""
+    """Routing after a target has announced that it leaves."""
 
     @pytest.mark.parametrize("kind", [READ, BOOK, ASK], ids=lambda kind: kind.path)
     @pytest.mark.parametrize("act", [Act.ANSWER, Act.FAIL], ids=lambda act: act.name)
-    def test_nothing_new(self, kind: Kind, act: Act) -> None:
-        """It gets nothing new, whatever its answer was, and the others serve."""
+    def test_nothing_new(self, kind: RequestKind, act: Act) -> None:
+        """It gets no new requests, whatever its answer was, and the others serve."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -80,7 +80,7 @@
         asyncio.run(scenario())
 
     def test_refusal(self) -> None:
-        """A refusal that says so counts as well."""
+        """The announcement also counts in a refusal."""
 
         async def scenario() -> None:
             async with serve(count=1, acts=[Act.REFUSE] * TRIES) as bed:
@@ -93,11 +93,11 @@
         asyncio.run(scenario())
 
     def test_listed_again(self) -> None:
-        """The store, which is behind, lists it as in service, without it, and again."""
+        """Outdated lists that show the target as in service do not make it used again."""
 
         async def scenario() -> None:
             async with serve() as bed:
-                await learn(bed, READ, {"s0"})
+                await announce_leaving(bed, READ, {"s0"})
                 whole = entries(bed)
                 for targets in (whole, tuple(t for t in whole if t.name != "s0"), whole):
                     bed.gateway.set_targets(targets)
@@ -106,12 +106,12 @@
         asyncio.run(scenario())
 
     def test_started_again(self) -> None:
-        """A later start of its name is another target, which is used."""
+        """A restarted target of the same name is a new target and is used."""
 
         async def scenario() -> None:
             async with serve() as bed:
                 bed.gateway.set_targets(entries(bed, started=1))
-                await learn(bed, READ, {"s0"})
+                await announce_leaving(bed, READ, {"s0"})
                 assert "s0" not in await reached(bed, READ)
                 bed.fleet.leaving = set()
                 bed.gateway.set_targets(entries(bed, started=2))
@@ -120,11 +120,11 @@
         asyncio.run(scenario())
 
     def test_all_leave(self) -> None:
-        """Where no other one is left a request is refused as not run, with the time to come."""
+        """If all targets leave, requests are refused as not run, with a retry delay."""
 
         async def scenario() -> None:
             async with serve(count=2) as bed:
-                await learn(bed, READ, {"s0", "s1"})
+                await announce_leaving(bed, READ, {"s0", "s1"})
                 bed.fleet.runs.clear()
                 answer = await bed.ask("/read/", id="last")
                 assert answer.head.status == 503
@@ -135,10 +135,10 @@
 
 
 class TestOthers:
-    """What says nothing of a target."""
+    """Announcements that concern another target."""
 
     def test_another_at_its_address(self) -> None:
-        """Another target at the address, which refuses what is not meant for it, means itself."""
+        """An announcement by another target at the listed address is ignored."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -157,11 +157,11 @@
 
 
 class TestOlderList:
-    """What a host does with a list of targets that is older than what it knew."""
+    """Target lists that are older than the known state."""
 
     @pytest.mark.parametrize("gone", [False, True], ids=["draining", "draining and gone"])
     def test_draining(self, gone: bool) -> None:
-        """A target that was draining is not used again since an old entry says it serves."""
+        """A draining target is not used again because an outdated entry lists it as serving."""
 
         async def scenario() -> None:
             async with serve() as bed:
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""A target that names a limit in its answers gets no more than that from a gateway."""
+"""Tests that a gateway keeps to the rate limits that targets advertise in answers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,31 +7,31 @@
 
 from tests.gateway.fixtures import Act, Bed, model_headers, serve
 
-WINDOW = 4.0
-"""Seconds in which the requests at a target are counted."""
+WINDOW_SECONDS = 4.0
+"""Length in seconds of the window over which a target's requests are counted."""
 
-SETTLE = 3.0
-"""Seconds after a target first named its limit from which on it is kept."""
+SETTLE_SECONDS = 3.0
+"""Seconds after the first request from which on the limit must be kept."""
 
 BURST = 5.0
-"""Requests that may be over what the limit allows."""
+"""Requests allowed in a window in addition to the limit."""
 
 SLACK = 1.5
-"""Times the limit that may arrive."""
+"""Factor by which the limit may be exceeded."""
 
-PAUSE = 0.05
-"""Seconds between two requests of a caller."""
+PAUSE_SECONDS = 0.05
+"""Default seconds between requests."""
 
 
-def most(times: list[float], *, begin: float) -> int:
-    """Return the most requests in any window that ends after a moment."""
+def max_in_window(times: list[float], *, begin: float) -> int:
+    """Return the most requests in any window that ends at or after ``begin``."""
     ends = [at for at in times if at >= begin]
-    return max((sum(end - WINDOW < at <= end for at in times) for end in ends), default=0)
+    return max((sum(end - WINDOW_SECONDS < at <= end for at in times) for end in ends), default=0)
 
 
-def allowed(limit: str) -> float:
-    """Return how many requests a window may hold."""
-    return SLACK * float(limit) * WINDOW + BURST
+def max_allowed(limit: str) -> float:
+    """Return the maximum number of requests in a window."""
+    return SLACK * float(limit) * WINDOW_SECONDS + BURST
 
 
 async def ask(bed: Bed, path: str, id: str) -> int:
@@ -40,8 +40,10 @@
     return (await bed.ask(path, id=id, headers=headers)).head.status
 
 
-async def press(bed: Bed, path: str, *, seconds: float, pause: float = PAUSE) -> list[int]:
-    """Send requests one after the other, and return their statuses."""
+async def send_at_pace(
+    bed: Bed, path: str, *, seconds: float, pause: float = PAUSE_SECONDS
+) -> list[int]:
+    """Send requests at a fixed pace without awaiting answers, and return their statuses."""
     clock = asyncio.get_running_loop().time
     end = clock() + seconds
     waiting = []
@@ -58,7 +60,7 @@
 
 
 class TestOneHost:
-    """A gateway that has no peers."""
+    """A gateway without peers."""
 
     @pytest.mark.parametrize(
         ("path", "name", "act", "limit"),
@@ -71,48 +73,50 @@
         ],
         ids=["half", "four", "failing", "book", "ask"],
     )
-    def test_target_gets_more_than_it_named(
-        self, path: str, name: str, act: Act, limit: str
-    ) -> None:
-        """It gets no more in any window, and callers are served by the others."""
+    def test_target_limit_is_kept(self, path: str, name: str, act: Act, limit: str) -> None:
+        """A target gets no more than its limit, and the others serve the remaining requests."""
 
         async def scenario() -> None:
             async with serve(count=2) as bed:
                 bed.fleet.limits = {name: limit}
                 bed.fleet.acts = [act] * (1_000 if act is Act.FAIL else 0)
-                statuses = await press(bed, path, seconds=SETTLE + WINDOW)
+                statuses = await send_at_pace(bed, path, seconds=SETTLE_SECONDS + WINDOW_SECONDS)
                 times = bed.fleet.times[name]
-                assert most(times, begin=times[0] + SETTLE) <= allowed(limit)
+                assert max_in_window(times, begin=times[0] + SETTLE_SECONDS) <= max_allowed(limit)
                 if act is Act.ANSWER:
                     assert set(statuses) == {200}
 
         run(scenario)
 
     def test_refusals_are_not_sent_again_beyond_the_limit(self) -> None:
-        """A target that turns requests away beside its limit gets no more of them."""
+        """A target that refuses requests is not sent retries beyond its limit."""
 
         async def scenario() -> None:
             async with serve(count=1) as bed:
                 bed.fleet.limits = {"s0": "1"}
                 bed.fleet.acts = [Act.REFUSE] * 1_000
-                await press(bed, "/read/", seconds=SETTLE + WINDOW)
+                await send_at_pace(bed, "/read/", seconds=SETTLE_SECONDS + WINDOW_SECONDS)
                 times = bed.fleet.times["s0"]
-                assert most(times, begin=times[0] + SETTLE) <= allowed("1")
+                assert max_in_window(times, begin=times[0] + SETTLE_SECONDS) <= max_allowed("1")
 
         run(scenario)
 
     def test_all_targets_of_a_service_name_limits(self) -> None:
-        """What exceeds them is refused at once as not run, with the time to come back."""
+        """Requests beyond all limits are refused at once as not run, with distinct retry delays."""
 
         async def scenario() -> None:
             async with serve(count=2) as bed:
                 bed.fleet.limits = {"s0": "1", "s1": "2"}
-                statuses = await press(bed, "/read/", seconds=SETTLE + WINDOW)
+                statuses = await send_at_pace(
+                    bed, "/read/", seconds=SETTLE_SECONDS + WINDOW_SECONDS
+                )
                 assert set(statuses) == {200, 503}
-                assert statuses.count(200) >= SETTLE + WINDOW - 1.0
+                assert statuses.count(200) >= SETTLE_SECONDS + WINDOW_SECONDS - 1.0
                 for name, limit in bed.fleet.limits.items():
                     times = bed.fleet.times[name]
-                    assert most(times, begin=times[0] + SETTLE) <= allowed(limit)
+                    assert max_in_window(times, begin=times[0] + SETTLE_SECONDS) <= max_allowed(
+                        limit
+                    )
                 clock = asyncio.get_running_loop().time
                 began = clock()
                 asked = (bed.ask("/read/", id=f"last{n}") for n in range(12))
@@ -125,7 +129,7 @@
         run(scenario)
 
     def test_limit_outlasts_the_list_of_targets(self) -> None:
-        """A list of the store that comes anew takes nothing of it away."""
+        """A limit is kept when the store's list of targets is replaced."""
 
         async def scenario() -> None:
             async with serve(count=2) as bed:
@@ -138,9 +142,11 @@
                         bed.gateway.set_targets(tuple(t for t in listed if t.name != "s0"))
                         bed.gateway.set_targets(listed)
 
-                _, statuses = await asyncio.gather(relist(), press(bed, "/read/", seconds=7.0))
+                _, statuses = await asyncio.gather(
+                    relist(), send_at_pace(bed, "/read/", seconds=7.0)
+                )
                 times = bed.fleet.times["s0"]
-                assert most(times, begin=times[0] + SETTLE) <= allowed("1")
+                assert max_in_window(times, begin=times[0] + SETTLE_SECONDS) <= max_allowed("1")
                 assert set(statuses) == {200}
 
         run(scenario)
--- a/tests/gateway/test_pages.py
+++ b/tests/gateway/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages of a gateway for operators."""
+"""Tests of the metrics and status pages."""
 
 import asyncio
 from collections.abc import Iterable
@@ -30,7 +30,7 @@
 
 
 async def read(bed: Bed, path: str) -> HttpAnswer:
-    """Return a page."""
+    """Fetch a page."""
     client = HttpClient(address=bed.gateway.pages_address)
     try:
         return await client.request(method="GET", path=path, timeout=PATIENCE)
@@ -39,7 +39,7 @@
 
 
 def target(name: str, started: int, role: TargetRole = TargetRole.SERVING) -> Target:
-    """Return the entry of a target."""
+    """Return the list entry of a target."""
     return Target(
         name=TargetName(name),
         service=ServiceName("plain"),
@@ -51,7 +51,7 @@
 
 
 class TestPaths:
-    """Which page stands where."""
+    """Paths of the pages."""
 
     @pytest.mark.parametrize(
         ("path", "status", "type"),
@@ -65,7 +65,7 @@
         ],
     )
     def test_path(self, path: str, status: HTTPStatus, type: str) -> None:
-        """Each page is at its path alone."""
+        """Each page is served at its exact path only."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -98,7 +98,7 @@
     def test_targets(
         self, lists: Iterable[Iterable[Target]], shown: list[tuple[str, str, int]]
     ) -> None:
-        """Each target that is listed now is told with its place, state and latest start."""
+        """Each listed target is reported with its place, state and latest start."""
 
         async def scenario() -> None:
             async with serve() as bed:
@@ -117,7 +117,7 @@
     def test_surroundings(
         self, foreign: tuple[ForeignCollection, ...], members: tuple[Member, ...]
     ) -> None:
-        """The page names its host, the hosts known and the foreign entries."""
+        """The page reports its host, the known hosts and the foreign entries."""
 
         async def scenario() -> None:
             async with serve(members=lambda: members, foreign=lambda: foreign) as bed:
--- a/tests/gateway/test_rules.py
+++ b/tests/gateway/test_rules.py
@@ -1,4 +1,4 @@
-"""What must hold whatever targets do, from what callers and targets see."""
+"""Property tests: invariants seen by callers and targets under arbitrary target failures."""
 
 import asyncio
 from collections import Counter
@@ -14,7 +14,7 @@
 
 PATHS = ("/read/", "/book/", "/ask/", "/once/")
 ONCE = ("/book/", "/once/")
-MOST_RUNS = 2
+MAX_RUNS = 2
 EVENTS = 5
 
 ACTS = st.lists(
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
-    """What a caller saw of a request.
+    """The result of a request as its caller saw it.
 
     Attributes:
         id: Its id.
         path: Where it was sent.
-        after: The last event that it had.
-        answer: The answer, or None where it was broken off or the caller left.
+        after: The id of the last event that the caller already had.
+        answer: The answer, or None if it was aborted or the caller disconnected.
     """
 
     id: str
@@ -45,7 +45,7 @@
 
 
 async def send(bed: Bed, id: str, path: str, after: int, leaves: bool) -> Outcome:
-    """Send a request, and perhaps leave before its answer."""
+    """Send a request, and disconnect before its answer if ``leaves`` is true."""
     headers = model_headers() if path in ("/ask/", "/once/") else ()
     has_some = path == "/ask/" and after > 0
     if has_some:
@@ -56,14 +56,14 @@
         async with asyncio.timeout(0.005 if leaves else PATIENCE):
             answer = await asking
     except (HttpBrokenError, TimeoutError):
-        # Both are answers that the caller does not have; the rules are checked from the runs.
+        # The caller has no complete answer; only the number of runs is checked.
         answer = None
     return Outcome(id=id, path=path, after=after if has_some else 0, answer=answer)
 
 
 def check(outcome: Outcome, runs: int) -> None:
-    """Check what one caller saw against what targets ran."""
-    limit = 1 if outcome.path in ONCE else MOST_RUNS
+    """Check one caller's outcome against the number of runs at targets."""
+    limit = 1 if outcome.path in ONCE else MAX_RUNS
     assert runs <= limit
     if outcome.answer is None:
         return
@@ -82,13 +82,13 @@
     assert sealed is (status in targets_own)
 
 
-class TestRules:
-    """Requests that may run once run once; promises are true; answers are whole and one's own."""
+class TestInvariants:
+    """Runs stay within limits, refusals are truthful, and answers complete and not mixed up."""
 
     @settings(max_examples=60, deadline=None)
     @given(acts=ACTS, requests=REQUESTS)
     def test_any_targets(self, acts: list[Act], requests: list[tuple[str, int, bool]]) -> None:
-        """Targets refuse, fail, break off, tear, cross and encode answers, and callers leave."""
+        """The invariants hold for any script of target failures and disconnecting callers."""
 
         async def scenario() -> None:
             async with serve(acts=acts) as bed:
@@ -97,7 +97,7 @@
                     for index, (path, after, leaves) in enumerate(requests)
                 ]
                 outcomes = await asyncio.gather(*sends)
-                # What callers left behind ends too before runs are counted.
+                # Requests of disconnected callers must also end before runs are counted.
                 await asyncio.sleep(0.05)
                 runs = Counter(run.id for run in bed.fleet.runs)
                 for outcome in outcomes:
--- a/tests/gateway/test_silence.py
+++ b/tests/gateway/test_silence.py
@@ -1,4 +1,4 @@
-"""A target that is silent for a while does not cost its caller the answer."""
+"""Tests that a temporarily silent target does not make its caller lose the answer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 from tests.gateway.fixtures import PATIENCE, Act, model_headers, serve, whole_stream
 
 SILENCE = GAP_PATIENCE + 0.4
-"""Seconds for which an engine reads a long prompt and writes nothing; callers leave after 2 s."""
+"""Seconds without output while an engine processes a long prompt; callers leave after 2 s."""
 
 EVENTS = 5
 
@@ -25,7 +25,7 @@
 
 
 class TestSilence:
-    """An answer is broken off for silence only where another target can go on with it."""
+    """An attempt is cancelled for silence only if another target can resume it."""
 
     @pytest.mark.parametrize(
         "acts",
@@ -33,7 +33,7 @@
         ids=["both attempts", "after none at all", "after one broken"],
     )
     def test_last_attempt(self, acts: tuple[Act, ...]) -> None:
-        """The last attempt is waited for, and its caller gets the whole answer."""
+        """The last attempt is not cancelled, and its caller gets the complete answer."""
 
         async def scenario() -> None:
             async with serve(acts=acts) as bed:
--- a/tests/gateway/test_starting.py
+++ b/tests/gateway/test_starting.py
@@ -1,4 +1,4 @@
-"""A gateway listens for callers last, so that nobody connects to one that cannot start."""
+"""Tests that a gateway that fails to start accepts no callers: it binds their address last."""
 
 import asyncio
 from socket import socket
@@ -9,7 +9,7 @@
 
 
 def free_address() -> str:
-    """Return an address on loopback on which nobody listens."""
+    """Return an unused loopback address."""
     with socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("taken", ["readiness", "metrics_address"])
 def test_address_taken(taken: str) -> None:
-    """Where another address is taken, callers are turned away and not cut off."""
+    """If another address is in use, callers are refused rather than cut off."""
 
     async def scenario() -> None:
         with socket() as other:
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -1,4 +1,4 @@
-"""What a gateway does as targets start again under their names."""
+"""Tests for targets that restart under the same name."""
 
 import asyncio
 
@@ -20,8 +20,8 @@
 )
 from tests.waiting import reach
 
-BORN = 1_790_000_000_000
-"""A start, in milliseconds of the wall clock."""
+STARTED_MS = 1_790_000_000_000
+"""A target's start, in milliseconds of the wall clock."""
 
 
 class TestEntries:
@@ -29,10 +29,15 @@
 
     @pytest.mark.parametrize(
         ("before", "after", "restarted"),
-        [(BORN, BORN + 1, "s0"), (BORN, BORN - 1, ""), (BORN, 0, ""), (0, BORN, "")],
+        [
+            (STARTED_MS, STARTED_MS + 1, "s0"),
+            (STARTED_MS, STARTED_MS - 1, ""),
+            (STARTED_MS, 0, ""),
+            (0, STARTED_MS, ""),
+        ],
     )
     def test_log(self, before: int, after: int, restarted: str) -> None:
-        """The log shows those that started again, and a late entry does not come into force."""
+        """Restarts are logged, and an outdated entry does not replace a newer one."""
 
         async def scenario() -> list[TargetsChanged]:
             log = RecordingLog()
@@ -53,20 +58,20 @@
         [("/ask/", Act.ANSWER, 1), ("/once/", Act.ANSWER, 1), ("/ask/", Act.HANG, 2)],
     )
     def test_streams(self, path: str, act: Act, runs: int) -> None:
-        """A stream that is under way as its target's later start is told comes whole.
+        """A running stream completes although its target is reported as restarted.
 
-        It is begun anew only where no output has come.
+        It is retried only if it has produced no output.
         """
 
         async def scenario() -> None:
             async with serve(count=1) as bed:
                 bed.fleet.acts, bed.fleet.pause = [act], 0.05
                 entry = listed(bed.targets[0], "e0", streams=True)
-                bed.gateway.set_targets((replace(entry, started=BORN),))
+                bed.gateway.set_targets((replace(entry, started=STARTED_MS),))
                 asking = asyncio.ensure_future(bed.ask(path, headers=model_headers()))
                 await reach(lambda: len(bed.fleet.runs) == 1)
                 await asyncio.sleep(bed.fleet.pause)
-                bed.gateway.set_targets((replace(entry, started=BORN + 1),))
+                bed.gateway.set_targets((replace(entry, started=STARTED_MS + 1),))
                 assert (await asking).body == whole_stream(5)
                 assert len(bed.fleet.runs) == runs
 
@@ -74,14 +79,20 @@
 
 
 class TestTickets:
-    """Memory that is set aside."""
+    """Memory reservations."""
 
     @pytest.mark.parametrize(
         ("held", "now", "asked"),
-        [(BORN, BORN, 4), (BORN, BORN + 1, 3), (BORN, BORN - 1, 4), (0, BORN, 4), (BORN, 0, 4)],
+        [
+            (STARTED_MS, STARTED_MS, 4),
+            (STARTED_MS, STARTED_MS + 1, 3),
+            (STARTED_MS, STARTED_MS - 1, 4),
+            (0, STARTED_MS, 4),
+            (STARTED_MS, 0, 4),
+        ],
     )
     def test_renewed(self, held: int, now: int, asked: int) -> None:
-        """Memory is not set aside anew at an engine that has lost it by starting again."""
+        """Reservations that an engine lost by restarting are not renewed there."""
         starts = {TargetName("e1"): held, TargetName("e2"): held}
         reservations = FakeReservations()
 
--- a/tests/gateway/test_steps.py
+++ b/tests/gateway/test_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a stop: when a leaving host stops listening, decides what is open, and ends."""
+"""Unit tests of a stop: when a host stops listening, ends open requests, and exits."""
 
 from dataclasses import dataclass, field
 
@@ -24,20 +24,20 @@
 GRACE = 8.0
 STEP = 0.05
 LATER = 3.0
-"""Seconds after which the others may do something else."""
+"""Seconds after which the neighbours' state may change."""
 
 OTHERS_SERVE = Neighbours(known=2, ready=2)
 
 
 @dataclass(slots=True, kw_only=True)
 class Trace:
-    """When each step of a stop was taken, in seconds after it was told."""
+    """The time of each effect of a stop, in seconds after it began."""
 
     steps: dict[type, float] = field(default_factory=dict)
     over: float = 0.0
 
 
-def play(
+def simulate(
     neighbours: Neighbours,
     *,
     busy_until: float = 0.0,
@@ -46,15 +46,15 @@
     later: Neighbours | None = None,
     held: float = 0.0,
 ) -> Trace:
-    """Play a stop whose connections are closed by a moment, or never.
+    """Simulate a stop with one connection that is open until ``busy_until``.
 
     Args:
-        neighbours: What is seen of the others.
+        neighbours: The observed neighbours.
         busy_until: When the last connection is closed.
         grace: Seconds until the process would be killed.
-        requests: Requests that are open until they are decided.
-        later: What is seen of the others from `LATER` on, where that differs.
-        held: For how long the order had been held back as the stop begins.
+        requests: Requests that stay open until they are ended.
+        later: The neighbours observed from `LATER` on, if different.
+        held: Seconds by which the stop order was delayed.
     """
     trace = Trace()
     stop = begin_stop(now=0.0, grace=grace, told=-held)
@@ -74,7 +74,7 @@
 
 
 class TestListening:
-    """A leaving host listens while callers may be sent to it, and its grace permits."""
+    """A leaving host listens while it may receive callers and its grace period permits."""
 
     @pytest.mark.parametrize(
         ("neighbours", "closes"),
@@ -91,8 +91,8 @@
         ],
     )
     def test_closes(self, neighbours: Neighbours, closes: float) -> None:
-        """It stops at once where half its domain is ready, else in its turn, else when it must."""
-        trace = play(neighbours)
+        """It closes early if half its domain is ready, otherwise in turn or at the latest time."""
+        trace = simulate(neighbours)
         assert trace.steps[CloseListener] == pytest.approx(closes, abs=STEP)
 
     @pytest.mark.parametrize(
@@ -113,14 +113,14 @@
         ],
     )
     def test_others_gone(self, neighbours: Neighbours, later: Neighbours, closes: float) -> None:
-        """A neighbour whose process has ended, and whose next one is loaded, still counts."""
-        trace = play(neighbours, later=later)
+        """A neighbour that has exited, and whose next process is starting, still counts."""
+        trace = simulate(neighbours, later=later)
         assert trace.steps[CloseListener] == pytest.approx(closes, abs=STEP)
 
     @pytest.mark.parametrize("grace", [0.0, 0.3, 1.0, 3.0])
     def test_short_grace(self, grace: float) -> None:
-        """With little time it listens for half of it at most, and ends in time."""
-        trace = play(Neighbours(known=2, before=2), busy_until=100.0, grace=grace)
+        """With a short grace period it listens for at most half of it, and exits in time."""
+        trace = simulate(Neighbours(known=2, before=2), busy_until=100.0, grace=grace)
         assert trace.steps[CloseListener] <= grace / 2.0 + STEP
         assert trace.over <= max(grace - 0.4, 0.0) + FLUSH_SECONDS + 2 * STEP
 
@@ -135,8 +135,8 @@
         ],
     )
     def test_held(self, neighbours: Neighbours, held: float, closes: float) -> None:
-        """An order that was held back leaves less time, and what is open is decided in it."""
-        trace = play(neighbours, busy_until=100.0, requests=1, held=held)
+        """A delayed stop order leaves less time, and open requests are ended within it."""
+        trace = simulate(neighbours, busy_until=100.0, requests=1, held=held)
         assert trace.steps[CloseListener] == pytest.approx(closes, abs=STEP)
         decided = max(0.0, GRACE - 0.4 - held)
         assert trace.steps[EndRequests] == pytest.approx(decided, abs=STEP)
@@ -144,30 +144,30 @@
 
 
 class TestEnding:
-    """A stop ends as soon as nothing is open, and decides what is by the end of the grace."""
+    """A stop ends once nothing is open, and ends open requests when the grace period expires."""
 
     @pytest.mark.parametrize("until", [0.0, 4.0, 7.0])
     def test_nothing_open(self, until: float) -> None:
-        """Nothing needs to be decided where all has been answered; the process ends at once."""
-        trace = play(OTHERS_SERVE, busy_until=until)
+        """If all requests are answered, none is ended by force and the process exits at once."""
+        trace = simulate(OTHERS_SERVE, busy_until=until)
         assert EndRequests not in trace.steps
         assert trace.over == pytest.approx(max(until, LINGER_SECONDS), abs=2 * STEP)
 
     @pytest.mark.parametrize(("busy_until", "requests"), [(100.0, 0), (100.0, 3), (0.0, 1)])
     def test_decided(self, busy_until: float, requests: int) -> None:
-        """What is open is decided before the end, once, and its answers have time to leave."""
-        trace = play(OTHERS_SERVE, busy_until=busy_until, requests=requests)
+        """Open requests are ended once, early enough for their answers to be sent."""
+        trace = simulate(OTHERS_SERVE, busy_until=busy_until, requests=requests)
         assert trace.steps[EndRequests] == pytest.approx(GRACE - 0.4, abs=STEP)
         assert trace.over <= GRACE - 0.4 + FLUSH_SECONDS + 2 * STEP
         assert trace.steps[CloseIdle] == trace.steps[CloseListener]
 
 
 class TestLastCaller:
-    """A caller whose connection waits as the host stops listening."""
+    """A caller whose connection is pending when the host stops listening."""
 
     @pytest.mark.parametrize(("connections", "requests"), [(1, 0), (1, 1), (0, 1)])
     def test_taken(self, connections: int, requests: int) -> None:
-        """It is looked for after the listener is closed, and waited for."""
+        """The process does not exit before an observation made after the listener closed."""
         stop = begin_stop(now=0.0, grace=GRACE)
         before = StopObserved(
             now=LINGER_SECONDS, connections=0, open_requests=0, neighbours=OTHERS_SERVE
@@ -185,10 +185,10 @@
 
 
 class TestNeighbours:
-    """What is known of the other hosts of a failure domain."""
+    """Counts of the other hosts of a failure domain."""
 
     def test_counted(self) -> None:
-        """Hosts of other domains and this one are left out; names order those that leave."""
+        """This host and other domains are excluded; leaving hosts are ordered by name."""
         statuses = {
             "h1": MemberStatus.LEAVING,
             "h2": MemberStatus.ALIVE,
--- a/tests/gateway/test_stop_model.py
+++ b/tests/gateway/test_stop_model.py
@@ -1,13 +1,13 @@
-"""The steps of a stop among three hosts of one failure domain, in every order that is tried."""
+"""Model check of stops among three hosts of one failure domain."""
 
 from models.stopping_search import TRIO, search_stops
 
 
 class TestStops:
-    """Hosts are stopped and started again at any second, beside a balancer that lags."""
+    """Hosts stop and restart at any second, behind a load balancer that lags."""
 
     def test_promises(self) -> None:
-        """No order breaks a promise, and none was left out."""
+        """No interleaving violates a property, and the search is complete."""
         found = search_stops(TRIO)
         assert (found.promise, found.trace) == ("", ())
         assert found.complete
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -1,4 +1,4 @@
-"""A process that is told to stop answers or refuses each request that it has read."""
+"""Tests that a stopping process answers or refuses each request that it has read."""
 
 import asyncio
 import socket
@@ -26,28 +26,28 @@
 from tests.waiting import reach
 
 GRACE = 2.0
-"""Seconds that the process has; it ends of itself a little before."""
+"""Grace period in seconds; the process exits slightly earlier."""
 
 FLUSH_SECONDS = 0.2
-"""Seconds after the stop in which an answer that was sent must have come over loopback."""
+"""Seconds after the stop within which sent answers must arrive over loopback."""
 
 ENDS = ("Request answered.", "Request failed.")
 
 
-MOST_OUTPUT = 3_000
-"""Tokens that take 3.9 s to write at the engines' pace, which is more than the time of grace."""
+LONG_OUTPUT_TOKENS = 3_000
+"""Output tokens that take the engines 3.9 s, which is more than the grace period."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Case:
-    """A request that cannot end within the time of grace.
+class OpenRequest:
+    """A request that cannot complete within the grace period.
 
     Attributes:
         path: Where it is sent.
         acts: What targets do with it.
-        status: What its caller gets, or None where an answer that has begun is broken off.
-        runs: How often it runs.
-        again: Whether its caller is told when to come back.
+        status: The status that its caller gets, or None if an answer that has begun is aborted.
+        runs: Number of runs.
+        again: Whether the answer has a retry delay.
     """
 
     path: str
@@ -60,22 +60,22 @@
 REFUSALS = (Act.REFUSE,) * 200
 
 CASES = {
-    "a lookup whose target is silent": Case(
+    "a lookup whose target is silent": OpenRequest(
         path="/read/", acts=(Act.HANG,), status=HTTPStatus.BAD_GATEWAY, runs=1
     ),
-    "a booking whose target is silent": Case(
+    "a booking whose target is silent": OpenRequest(
         path="/book/", acts=(Act.HANG,), status=HTTPStatus.BAD_GATEWAY, runs=1, again=False
     ),
-    "a stream that has not begun": Case(
+    "a stream that has not begun": OpenRequest(
         path="/once/", acts=(Act.HANG,), status=HTTPStatus.BAD_GATEWAY, runs=1, again=False
     ),
-    "a stream that outlasts the time of grace": Case(
+    "a stream that outlasts the grace period": OpenRequest(
         path="/ask/", acts=(), status=None, runs=1, again=False
     ),
-    "a lookup that every target refuses": Case(
+    "a lookup that every target refuses": OpenRequest(
         path="/read/", acts=REFUSALS, status=HTTPStatus.SERVICE_UNAVAILABLE, runs=0
     ),
-    "a booking that every target refuses": Case(
+    "a booking that every target refuses": OpenRequest(
         path="/book/", acts=REFUSALS, status=HTTPStatus.SERVICE_UNAVAILABLE, runs=0
     ),
 }
@@ -92,7 +92,7 @@
 
 
 async def outcome(bed: Bed, path: str, *, id: str = "r1") -> HttpAnswer | None:
-    """Send a request and return its answer, or None where it was broken off."""
+    """Send a request and return its answer, or None if it was aborted."""
     streams = path in ("/ask/", "/once/")
     try:
         return await bed.ask(path, id=id, headers=model_headers() if streams else ())
@@ -101,11 +101,11 @@
 
 
 class TestOpenRequests:
-    """What is open as the time of grace ends gets its one final answer before the process goes."""
+    """Requests still open when the grace period ends get one final answer before the exit."""
 
     @pytest.mark.parametrize("case", CASES.values(), ids=CASES.keys())
-    def test_decided(self, case: Case) -> None:
-        """The answer says truly whether it ran; nothing is sent again; the log has its end."""
+    def test_decided(self, case: OpenRequest) -> None:
+        """The answer tells correctly whether it ran; it is not retried; its end is logged."""
 
         async def scenario() -> None:
             log = RecordingLog()
@@ -132,19 +132,19 @@
 
 
 class TestNewRequests:
-    """A host that leaves begins nothing that would be broken off as it ends."""
+    """A leaving host starts no request that would be aborted when it exits."""
 
     @pytest.mark.parametrize(
         ("path", "output", "status"),
         [
             ("/ask/", 100, HTTPStatus.OK),
-            ("/ask/", MOST_OUTPUT, HTTPStatus.SERVICE_UNAVAILABLE),
+            ("/ask/", LONG_OUTPUT_TOKENS, HTTPStatus.SERVICE_UNAVAILABLE),
             ("/read/", 0, HTTPStatus.OK),
             ("/book/", 0, HTTPStatus.OK),
         ],
     )
     def test_read_late(self, path: str, output: int, status: HTTPStatus) -> None:
-        """What can end is answered; what cannot is refused at once, with when to come back."""
+        """Requests that can complete are answered; others are refused with a retry delay."""
 
         async def scenario() -> None:
             async with serve(grace=GRACE) as bed:
@@ -161,7 +161,7 @@
         run(scenario)
 
     def test_memory(self) -> None:
-        """Engines have been told that memory is free again before the process goes."""
+        """Reserved memory is released before the process exits."""
 
         async def scenario() -> None:
             async with serve(acts=(Act.HANG,), grace=GRACE) as bed:
@@ -178,7 +178,7 @@
         run(scenario)
 
     def test_cut_off(self) -> None:
-        """What has no end as the process ends is named in the log."""
+        """Requests still open when the process exits are logged."""
 
         async def scenario() -> None:
             log = RecordingLog()
@@ -192,7 +192,7 @@
         run(scenario)
 
     def test_step_fails(self) -> None:
-        """Where a step of the stop itself fails, what is open is decided all the same."""
+        """If a step of the stop raises, open requests still get a final answer."""
 
         async def scenario() -> None:
             log = RecordingLog()
@@ -210,10 +210,10 @@
 
 
 class TestListener:
-    """As a host that leaves stops listening, who has connected is served."""
+    """Callers that connected before a leaving host stops listening are served."""
 
     def test_waiting(self) -> None:
-        """A caller who connects in the very moment is answered; later ones are turned away."""
+        """A caller that connects just before the close is answered; later ones are refused."""
         callers: list[socket.socket] = []
 
         async def scenario() -> None:
@@ -221,7 +221,7 @@
                 host, port = bed.gateway.callers_address.split(":")
 
                 def connect() -> Neighbours:
-                    # Looked at right before each step, with no turn of the loop between.
+                    # Called right before each step of the stop, within the same loop iteration.
                     with suppress(ConnectionRefusedError):
                         callers.append(socket.create_connection((host, int(port)), timeout=5.0))
                         callers[-1].sendall(_lookup(f"r{len(callers)}"))
@@ -247,28 +247,28 @@
 
 
 class BrokenLog(RecordingLog):
-    """A log that cannot write how one request ended."""
+    """A log that fails to write the end of one request."""
 
     def write(self, entry: Entry) -> None:
-        """Keep an entry, or fail."""
+        """Record an entry, or raise."""
         if entry.request == "r1" and entry.sentence in ENDS:
             raise OSError
         super().write(entry)
 
 
 class BrokenDialect(PlatformDialect):
-    """A dialect that has no form for failures."""
+    """A dialect that cannot encode errors."""
 
     def failure(self, error: AzureswitchError) -> tuple[Headers, bytes]:
-        """Fail."""
+        """Raise an error."""
         raise RuntimeError
 
 
 class TestFaults:
-    """A fault of ours as one request is ended leaves none of the others without an end."""
+    """An internal error while ending one request does not keep others from ending."""
 
     def test_log(self) -> None:
-        """All are answered, also the one whose end cannot be logged."""
+        """All requests are answered, including the one whose end cannot be logged."""
 
         async def scenario() -> None:
             async with serve(acts=(Act.HANG,) * 3, grace=GRACE, log=BrokenLog()) as bed:
@@ -283,7 +283,7 @@
         run(scenario)
 
     def test_no_form(self) -> None:
-        """A connection ends whose request cannot be told of its failure."""
+        """If an error cannot be encoded, the connection is closed."""
 
         async def scenario() -> None:
             async with serve(acts=(Act.HANG,) * 2, grace=GRACE) as bed:
@@ -298,7 +298,7 @@
         run(scenario)
 
     def test_step(self) -> None:
-        """Where a step of the stop fails, engines are told all the same that memory is free."""
+        """If a step of the stop raises, reserved memory is still released."""
 
         async def scenario() -> None:
             async with serve(acts=(Act.HANG,), grace=GRACE) as bed:
@@ -320,13 +320,13 @@
 
 
 class TestLateRequests:
-    """What comes after the balancer has sent callers elsewhere must be all the surer to end."""
+    """Requests read late in a stop are started only with a larger time margin."""
 
     @pytest.mark.parametrize(
         ("wait", "status"), [(0.0, HTTPStatus.OK), (2.6, HTTPStatus.SERVICE_UNAVAILABLE)]
     )
     def test_stream(self, wait: float, status: HTTPStatus) -> None:
-        """A stream of 1.5 s with 2.9 s or more left is begun at first, and refused later on."""
+        """A stream of 1.5 s with 2.9 s or more left is started early in the stop, refused later."""
 
         async def scenario() -> None:
             async with serve(grace=6.0, neighbours=lambda: Neighbours(known=2, before=2)) as bed:
--- a/tests/gateway/test_tickets.py
+++ b/tests/gateway/test_tickets.py
@@ -1,4 +1,4 @@
-"""Memory on engines is released before a process ends."""
+"""Tests that reserved engine memory is released, also when a process exits."""
 
 import asyncio
 
@@ -11,32 +11,32 @@
 from tests.gateway.fixtures import FakeReservations, model_headers, serve
 from tests.waiting import reach
 
-TIMEOUT = 0.1
+TIMEOUT_SECONDS = 0.1
 
 
 def ticket(id: str, *, address: str = "127.0.0.1:1") -> Ticket:
-    """Return memory that a request needs on an engine."""
+    """Return a reservation on an engine."""
     return Ticket(id=id, target=TargetName("e0"), started=0, address=address, tokens=10)
 
 
 CALL = CallId("c1")
 TICKET = ticket("c1-1")
 
-LARGE = 1_000_000
+LARGE_PROMPT_TOKENS = 1_000_000
 """Tokens of a prompt that is larger than one engine's memory."""
 
 
 def releasing() -> list[asyncio.Task[object]]:
-    """Return the orders to release memory that are under way."""
+    """Return the running release tasks."""
     return [task for task in asyncio.all_tasks() if task.get_name() == "release"]
 
 
 class TestStop:
-    """A process that ends waits a moment for its last orders, and leaves none under way."""
+    """A process that exits waits briefly for its last releases, and leaves no task running."""
 
     @pytest.mark.parametrize(("delay", "held"), [(0.0, 0), (0.02, 0), (30.0, 1)])
     def test_release(self, delay: float, held: int) -> None:
-        """What takes a moment is done; what takes longer is called off."""
+        """Quick releases complete; slow ones are cancelled."""
 
         async def scenario() -> None:
             reservations = FakeReservations()
@@ -44,19 +44,19 @@
             tickets = Tickets(reservations=reservations, started=lambda name: 0)
             async with tickets.hold((TICKET,), call=CALL):
                 assert len(reservations.held) == 1
-            await tickets.stop(timeout=TIMEOUT)
+            await tickets.stop(timeout=TIMEOUT_SECONDS)
             assert len(reservations.held) == held
             assert not releasing()
 
         asyncio.run(scenario())
 
     def test_early_stop(self) -> None:
-        """A gateway that ends before its time of grace is over leaves none under way either."""
+        """A gateway that exits before its grace period ends leaves no release running either."""
 
         async def scenario() -> None:
             async with serve(grace=1.0) as bed:
                 bed.reservations.delay = 30.0
-                answer = await bed.ask("/ask/", headers=model_headers(prompt=LARGE))
+                answer = await bed.ask("/ask/", headers=model_headers(prompt=LARGE_PROMPT_TOKENS))
                 assert answer.head.status == 200
                 await reach(lambda: len(releasing()) == 1)
                 await bed.gateway.stop()
@@ -66,11 +66,11 @@
 
 
 class TestNextAttempt:
-    """A request that goes on elsewhere needs memory that its earlier attempt is giving back."""
+    """A retried request needs memory that its earlier attempt is still releasing."""
 
     @pytest.mark.parametrize("delay", [0.0, 0.01, RELEASE_SECONDS / 2.0])
-    def test_refused_by_its_own_memory(self, delay: float) -> None:
-        """What its earlier attempt held is free before it asks for its own."""
+    def test_not_refused_by_own_memory(self, delay: float) -> None:
+        """The earlier attempt's memory is released before the next attempt reserves its own."""
 
         async def scenario() -> None:
             reservations, tickets = _full_engine(delay)
@@ -88,7 +88,7 @@
         [("c1", 30.0, RELEASE_SECONDS), ("c2", RELEASE_SECONDS / 2.0, 0.0)],
     )
     def test_bound(self, call: str, delay: float, most: float) -> None:
-        """It waits for a moment alone, and not at all for what other requests held."""
+        """The wait is bounded, and memory of other requests is not waited for."""
 
         async def scenario() -> None:
             _, tickets = _full_engine(delay)
@@ -103,12 +103,12 @@
 
         run_virtual(scenario())
 
-    def test_release_held_up_by_a_deaf_engine(self) -> None:
-        """An engine that does not answer holds up no memory on others."""
+    def test_unresponsive_engine_delays_no_release(self) -> None:
+        """An unresponsive engine does not delay the release of memory on others."""
 
         async def scenario() -> None:
             reservations, tickets = _full_engine(0.0)
-            reservations.deaf.add("deaf")
+            reservations.unresponsive.add("deaf")
             async with tickets.hold((ticket("c1-1", address="deaf"), TICKET), call=CALL):
                 pass
             await asyncio.sleep(0.1)
@@ -119,7 +119,7 @@
 
 
 def _full_engine(delay: float) -> tuple[FakeReservations, Tickets]:
-    """Return engines that each have room for one attempt, and who sets memory aside there."""
+    """Return reservations with room for one attempt per engine, and tickets that use them."""
     reservations = FakeReservations()
     reservations.delay, reservations.room = delay, TICKET.tokens
     return reservations, Tickets(reservations=reservations, started=lambda name: 0)
