--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -104,7 +104,7 @@
                 targets=",".join(effect.targets),
                 held=sum(effect.reserved),
                 predicted=round(effect.first_token, 3),
-                peers=effect.accounts,
+                peers=effect.known_peers,
                 held_back=effect.held_back,
                 after=record.last_event,
             )
@@ -192,7 +192,7 @@
             arrival=record.arrival,
             customer=record.call.customer,
             target=first.name,
-            seconds_left=left,
+            quarantine_seconds=left,
             last_event=record.last_event,
             urgency=effect.priority,
             helpers=tuple(_helper(target, tickets) for target in targets[1:]),
@@ -210,7 +210,7 @@
             fresh=True,
         )
         timer = SilenceTimer(
-            seconds=effect.first_patience, silent=lambda: self._silent(record, effect)
+            seconds=effect.first_output_timeout, silent=lambda: self._silent(record, effect)
         )
         with timer:
             async with stream as answer:
@@ -300,7 +300,7 @@
             # Time spent on a slow caller must not count as silence of the target.
             timer.suspend()
             await record.exchange.drain()
-            timer.begin(effect.gap_patience)
+            timer.begin(effect.output_gap_timeout)
         if splitter.torn:
             raise TargetAnswerError(target=effect.targets[0])
         if not record.exchange.started:
--- a/src/azureswitch/serving/__init__.py
+++ b/src/azureswitch/serving/__init__.py
@@ -1,6 +1,6 @@
-"""The policy: admission, routing, attempts and retries, as one reducer."""
+"""The serving policy: admission, routing, attempts and retries, as one reducer."""
 
-from azureswitch.serving._admission import TURNED_SECONDS
+from azureswitch.serving._admission import BALANCER_SECONDS
 from azureswitch.serving._crashes import QUARANTINE_SECONDS
 from azureswitch.serving._digests import (
     CrashReport,
@@ -63,13 +63,13 @@
     TotalsReceived,
 )
 from azureswitch.serving._loop import Loop
-from azureswitch.serving._reduce import TICK, reduce
+from azureswitch.serving._reduce import TICK_SECONDS, reduce
 from azureswitch.serving._retries import RetryBudget
 from azureswitch.serving._state import ServingState
 
 __all__ = [
-    "TICK",
-    "TURNED_SECONDS",
+    "TICK_SECONDS",
+    "BALANCER_SECONDS",
     "AttemptEnd",
     "AttemptEnded",
     "AttemptSilent",
--- a/src/azureswitch/serving/_removal.py
+++ b/src/azureswitch/serving/_failover.py
@@ -10,8 +10,8 @@
 from azureswitch.core import Effect, TargetName
 from azureswitch.serving._attempts import dispatch, lane_of, mark_failed, retry
 from azureswitch.serving._effects import Observation
-from azureswitch.serving._ending import cancel, decide, observe
-from azureswitch.serving._retries import MOST_RETRIES, longest_backoff
+from azureswitch.serving._ending import cancel, observe, run_step
+from azureswitch.serving._retries import MAX_RETRIES, max_backoff
 from azureswitch.serving._routing import choose
 from azureswitch.serving._state import Attempt, CallRecord, ServingState
 
@@ -19,7 +19,9 @@
 """Seconds for which an engine whose memory others hold gets no new work."""
 
 
-def silent(state: ServingState, record: CallRecord, number: int, *, now: float) -> list[Effect]:
+def replace_silent(
+    state: ServingState, record: CallRecord, number: int, *, now: float
+) -> list[Effect]:
     """Go on elsewhere with a call whose target writes nothing, where another attempt may follow.
 
     Where none may, the target is waited for until the caller leaves or its deadline comes: engines
@@ -38,7 +40,7 @@
     return effects + retry(state, record, now=now)
 
 
-def lose(state: ServingState, target: TargetName, *, now: float) -> list[Effect]:
+def leave_unreachable(state: ServingState, target: TargetName, *, now: float) -> list[Effect]:
     """Start the attempts at a target that answers no poll any more elsewhere.
 
     A call that may not repeat, or has no further attempt or no other target, stays: its answer may
@@ -62,7 +64,9 @@
     return effects + retry(state, record, now=now)
 
 
-def resend(state: ServingState, targets: frozenset[TargetName], *, now: float) -> list[Effect]:
+def restart_attempts(
+    state: ServingState, targets: frozenset[TargetName], *, now: float
+) -> list[Effect]:
     """Start the attempts at targets that have started again anew, there or elsewhere.
 
     A call that may not repeat stays, and so does one for which no further try is permitted or
@@ -134,16 +138,16 @@
     return [
         effect
         for record in list(state.calls.values())
-        for effect in decide(state, record, partial(step, state, record, now=now), now=now)
+        for effect in run_step(state, record, partial(step, state, record, now=now), now=now)
     ]
 
 
 def _may_follow(state: ServingState, record: CallRecord, *, now: float, runs: int = 1) -> bool:
     """Return whether another attempt is permitted if so many that run are called off."""
-    pause = longest_backoff(record.retry_count + 1)
+    pause = max_backoff(record.retry_count + 1)
     in_time = now + pause < state.ends_by(record.call)
-    more_retries = record.retry_count < MOST_RETRIES and state.retries.permits()
-    held_back = state.crashes.seconds_left(record.call, now=now) > 0.0
+    more_retries = record.retry_count < MAX_RETRIES and state.retries.permits()
+    held_back = state.crashes.quarantine_seconds(record.call, now=now) > 0.0
     return record.may_run_beside(runs) and in_time and more_retries and not held_back
 
 
--- a/src/azureswitch/serving/_allowed.py
+++ b/src/azureswitch/serving/_throttling.py
@@ -7,7 +7,7 @@
 from azureswitch.serving._fleet import Pool
 from azureswitch.serving._length import Level, level_of
 from azureswitch.serving._queue import Lane
-from azureswitch.serving._retries import hold_seconds
+from azureswitch.serving._retries import max_queue_seconds
 from azureswitch.serving._state import ServingState
 from azureswitch.serving._target import TargetState
 
@@ -39,7 +39,7 @@
     asked = near if allowed and near else held_back
     count = 1 if allowed else ASKED_MOST
     for target in state.random.sample(asked, min(count, len(asked))):
-        state.permits.want(target.target.name, now=now)
+        state.permits.request(target.target.name, now=now)
     # A permit that this host hands out itself is there at once.
     return allowed + [target for target in held_back if _may_send(state, target, now=now)]
 
@@ -75,7 +75,7 @@
     if not all_limited(state, pool, now=now):
         return None
     rate = _whole_rate(state, pool, now=now)
-    hold = hold_seconds(call)
+    hold = max_queue_seconds(call)
     wait = seconds_until_permitted(state, pool, now=now)
     lane = lane_for(call, level_of(call, state.rules))
     places = 1 + int(rate * hold / state.fairness.hosts)
--- a/tests/serving/test_domains.py
+++ b/tests/serving/test_domains.py
@@ -26,7 +26,7 @@
 )
 from azureswitch.serving._domains import Domains
 from azureswitch.serving._ledger import TOTALS_SECONDS
-from tests.serving.engines import SERVICE, Kind, World, place_of, snapshot
+from tests.serving.engines import SERVICE, Simulation, Workload, place_of, snapshot
 
 PACE = EnginePace(
     step=0.00131,
@@ -37,14 +37,32 @@
     memory=405_000,
     answer=1_378,
 )
-SHORT = Kind(
-    prompt=4_000, spread=0.9, most=30_000, events=26, objective=0.4, pause=0.3, weight=2.6e-4
+SHORT = Workload(
+    prompt=4_000,
+    sigma=0.9,
+    max_prompt=30_000,
+    events=26,
+    objective=0.4,
+    max_pause=0.3,
+    weight=2.6e-4,
 )
-MIDDLE = Kind(
-    prompt=40_000, spread=0.5, most=110_000, events=16, objective=1.5, pause=0.8, weight=8e-5
+MIDDLE = Workload(
+    prompt=40_000,
+    sigma=0.5,
+    max_prompt=110_000,
+    events=16,
+    objective=1.5,
+    max_pause=0.8,
+    weight=8e-5,
 )
-LONG = Kind(
-    prompt=230_000, spread=0.5, most=900_000, events=13, objective=4.0, pause=1.2, weight=1.1e-4
+LONG = Workload(
+    prompt=230_000,
+    sigma=0.5,
+    max_prompt=900_000,
+    events=13,
+    objective=4.0,
+    max_pause=1.2,
+    weight=1.1e-4,
 )
 KINDS = (SHORT, MIDDLE, LONG)
 
@@ -252,8 +270,8 @@
         assert divided.digests <= 0.5 * whole.digests
 
 
-def _play(*, full_hosts: int | None, place: PlaceName | None) -> World:
-    world = World(pace=PACE, engines=24, hosts=18, seed=3, places=3, full_hosts=full_hosts)
+def _play(*, full_hosts: int | None, place: PlaceName | None) -> Simulation:
+    world = Simulation(pace=PACE, engines=24, hosts=18, seed=3, places=3, full_hosts=full_hosts)
     for kind, rate in zip(KINDS, (12.0, 2.2, 0.6), strict=True):
         world.load(kind, rate=rate, start=0.0, seconds=8.0, place=place)
     world.run(14.0)
--- a/tests/serving/test_apart.py
+++ b/tests/serving/test_isolation.py
@@ -1,4 +1,4 @@
-"""A fault of this program at one call, or beside the calls, costs no other call its decision."""
+"""Fault isolation: an internal error in one call or a side task does not affect other calls."""
 
 from collections.abc import Callable
 
@@ -32,9 +32,9 @@
     TargetUnreachable,
     Ticked,
     _attempts,
+    _failover,
+    _gossip,
     _reduce,
-    _removal,
-    _telling,
 )
 from azureswitch.serving._retries import LOST_SECONDS, STUCK_SECONDS
 from tests.serving.fixtures import Driver, engine, model_call, only, plain_call, snapshot
@@ -47,8 +47,8 @@
 Fault = Callable[[Driver, pytest.MonkeyPatch], None]
 
 
-def failing(step: Callable[..., object]) -> Callable[..., object]:
-    """Return a step that fails at one of the calls."""
+def failing_at_call(step: Callable[..., object]) -> Callable[..., object]:
+    """Wrap a step so that it raises for the faulty call."""
 
     def fail(*args: object, **more: object) -> object:
         subject = next((arg for arg in args if hasattr(arg, "call")), None)
@@ -59,49 +59,51 @@
     return fail
 
 
-def always(*args: object, **more: object) -> None:
-    """Fail whatever it is about."""
+def always_failing(*args: object, **more: object) -> None:
+    """Raise for any arguments."""
     raise RuntimeError
 
 
-def at_stop(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let the step fail that ends a call as its host stops."""
-    patch.setattr(_reduce, "stop", failing(_reduce.stop))
+def fail_stop(driver: Driver, patch: pytest.MonkeyPatch) -> None:
+    """Make the step fail that ends the faulty call when its host stops."""
+    patch.setattr(_reduce, "end_stopped", failing_at_call(_reduce.end_stopped))
 
 
-def at_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let the step fail that ends a call at its deadline."""
-    patch.setattr(_reduce, "out_of_time", failing(_reduce.out_of_time))
+def fail_deadline(driver: Driver, patch: pytest.MonkeyPatch) -> None:
+    """Make the step fail that ends the faulty call at its deadline."""
+    patch.setattr(_reduce, "end_expired", failing_at_call(_reduce.end_expired))
 
 
-def at_freeing(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let it fail to free what a call holds, each time that it is tried."""
-    patch.setattr(driver.state.fleet, "unsave", failing(driver.state.fleet.unsave))
+def fail_release(driver: Driver, patch: pytest.MonkeyPatch) -> None:
+    """Make each release of the resources of the faulty call fail."""
+    patch.setattr(
+        driver.state.fleet, "release_memory", failing_at_call(driver.state.fleet.release_memory)
+    )
 
 
-def at_drain(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what sends waiting calls."""
-    patch.setattr(_reduce, "drain_all", always)
+def fail_drain(driver: Driver, patch: pytest.MonkeyPatch) -> None:
+    """Make the dispatch of queued calls fail."""
+    patch.setattr(_reduce, "drain_all", always_failing)
 
 
-def at_claims(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what forgets claims."""
-    patch.setattr(driver.state, "expire_claims", always)
+def fail_claims(driver: Driver, patch: pytest.MonkeyPatch) -> None:
+    """Make the expiry of claims fail."""
+    patch.setattr(driver.state, "expire_claims", always_failing)
 
 
-def at_ledger(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what forgets the accounts of peers."""
-    patch.setattr(driver.state.ledger, "expire", always)
+def fail_ledger(driver: Driver, patch: pytest.MonkeyPatch) -> None:
+    """Make the expiry of peers' occupancy fail."""
+    patch.setattr(driver.state.ledger, "expire", always_failing)
 
 
-def at_digest(driver: Driver, patch: pytest.MonkeyPatch) -> None:
-    """Let fail what is told to peers."""
+def fail_digest(driver: Driver, patch: pytest.MonkeyPatch) -> None:
+    """Make the creation of digests fail."""
     patch.setattr(type(driver.state.ledger), "changed", True)
-    patch.setattr(_telling, "_digest", always)
+    patch.setattr(_gossip, "_digest", always_failing)
 
 
-def sent() -> Driver:
-    """Return a driver with calls that have been sent, with the same deadline."""
+def driver_with_sent_calls() -> Driver:
+    """Return a driver with started calls that share a deadline."""
     driver = Driver(faulty=True)
     for name in CALLS:
         driver.arrive(model_call(name, deadline=DEADLINE))
@@ -109,15 +111,17 @@
     return driver
 
 
-class TestEnd:
-    """As a stop or a deadline ends several calls, each one has its answer."""
+class TestMassEnd:
+    """If a stop or a deadline ends several calls, each one gets its answer."""
 
-    @pytest.mark.parametrize("fault", [at_stop, at_freeing, at_digest], ids=lambda f: f.__name__)
+    @pytest.mark.parametrize(
+        "fault", [fail_stop, fail_release, fail_digest], ids=lambda f: f.__name__
+    )
     def test_stop(
         self, fault: Fault, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """At the end of the time of grace; the one that fails is told so, and a line is logged."""
-        driver = sent()
+        """When the grace period ends, the faulty call gets an internal error, which is logged."""
+        driver = driver_with_sent_calls()
         fault(driver, monkeypatch)
         effects = driver.send(GraceEnded(now=1.0))
         self.check(driver, effects, fault, usual=HostStoppedError)
@@ -125,14 +129,14 @@
 
     @pytest.mark.parametrize(
         "fault",
-        [at_deadline, at_freeing, at_drain, at_claims, at_ledger, at_digest],
+        [fail_deadline, fail_release, fail_drain, fail_claims, fail_ledger, fail_digest],
         ids=lambda f: f.__name__,
     )
     def test_deadline(
         self, fault: Fault, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """At the deadline of several calls, also where what follows in that tick fails."""
-        driver = sent()
+        """At a shared deadline, also if a later step of the same tick fails."""
+        driver = driver_with_sent_calls()
         fault(driver, monkeypatch)
         effects = driver.send(Ticked(now=DEADLINE))
         self.check(driver, effects, fault, usual=DeadlineExceededError)
@@ -141,11 +145,11 @@
     def check(
         self, driver: Driver, effects: list[object], fault: Fault, *, usual: type[AzureswitchError]
     ) -> None:
-        """Check that each call has one answer, and that all attempts are called off."""
+        """Check that each call has one answer and that all attempts are cancelled."""
         ends = {finish.call: finish.error for finish in only(FinishCall, effects)}  # type: ignore[arg-type]
         assert len(only(FinishCall, effects)) == len(CALLS)  # type: ignore[arg-type]
         assert ends.keys() == set(CALLS)
-        single = fault in (at_stop, at_deadline, at_freeing)
+        single = fault in (fail_stop, fail_deadline, fail_release)
         for call, error in ends.items():
             assert type(error) is (AzureswitchError if single and call == FAULTY else usual)
             assert error.ran is Ran.UNKNOWN
@@ -155,15 +159,15 @@
 
 
 class TestWaiting:
-    """A waiting call that cannot be sent for a fault of ours holds up none behind it."""
+    """An internal error on dispatch of a queued call does not block the calls behind it."""
 
     def test_sent(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """It is answered as failed, and the others are sent."""
+        """The faulty call is answered with an error, and the others are sent."""
         driver = Driver(faulty=True)
         monkeypatch.setattr(_attempts, "choose", lambda *args, **more: None)
         for name in (FAULTY, CallId("c3")):
             driver.arrive(model_call(name))
-        monkeypatch.setattr(_attempts, "choose", failing(_removal.choose))
+        monkeypatch.setattr(_attempts, "choose", failing_at_call(_failover.choose))
         driver.tick(1.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
         assert [start.call for start in only(StartAttempt, driver.effects)] == ["c3"]
@@ -178,7 +182,7 @@
         ids=lambda event: type(event).__name__,
     )
     def test_queue(self, event: ServingEvent, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Where the queue itself fails, what happened to a call that was sent is decided."""
+        """If the queue itself fails, events of calls in progress are still processed."""
         driver = Driver(faulty=True)
         driver.arrive(model_call(CALLS[0]))
         driver.tick(3.0)
@@ -186,7 +190,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(_attempts, "choose", lambda *args, **more: None)
             driver.arrive(model_call(FAULTY))
-        monkeypatch.setattr(driver.state.queue, "heads", always)
+        monkeypatch.setattr(driver.state.queue, "heads", always_failing)
         driver.send(event)
         if isinstance(event, FirstTokenArrived):
             assert not only(FinishCall, driver.effects)
@@ -197,7 +201,7 @@
             assert isinstance(driver.error(CALLS[0]), CallerLeftError)
 
     def test_next_try(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """So it is with one that waits for its next try."""
+        """The same holds for calls that wait for their next retry."""
         driver = Driver(faulty=True)
         for name in CALLS:
             driver.arrive(plain_call(name, repeatable=True))
@@ -205,7 +209,7 @@
             end = AttemptEnd.REFUSED
             event = AttemptEnded(now=0.0, call=name, attempt=1, end=end, retry_after=0.01)
             driver.send(event)
-        monkeypatch.setattr(_reduce, "dispatch", failing(_reduce.dispatch))
+        monkeypatch.setattr(_reduce, "dispatch", failing_at_call(_reduce.dispatch))
         driver.tick(2.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
         again = {start.call for start in only(StartAttempt, driver.effects) if start.attempt > 1}
@@ -213,32 +217,32 @@
 
 
 class TestRunning:
-    """What runs goes on where a step fails that need not have been taken."""
+    """Attempts in progress continue if an optional step fails."""
 
     @pytest.mark.parametrize("step", ["age", "hedge"])
     def test_goes_on(self, step: str, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A stream is not broken off because its priority could not be raised, or none hedged."""
+        """A failure to raise the priority or to hedge does not end the attempt."""
         driver = Driver(faulty=True)
         for name in CALLS:
             driver.arrive(model_call(name))
-        monkeypatch.setattr(_reduce, step, failing(getattr(_reduce, step)))
+        monkeypatch.setattr(_reduce, step, failing_at_call(getattr(_reduce, step)))
         driver.tick(5.0)
         assert not only(FinishCall, driver.effects)
         driver.send(AttemptEnded(now=5.0, call=FAULTY, attempt=1, end=AttemptEnd.COMPLETE))
         assert driver.error(FAULTY) is None
 
     def test_first_token(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Nor because nothing could be learnt from its first token."""
-        driver = sent()
-        monkeypatch.setattr(driver.state.costs, "observe_stretch", always)
+        """A failure to record statistics of the first token does not end the attempt."""
+        driver = driver_with_sent_calls()
+        monkeypatch.setattr(driver.state.costs, "observe_stretch", always_failing)
         driver.send(FirstTokenArrived(now=1.0, call=FAULTY, attempt=1))
         assert not only(FinishCall, driver.effects)
         driver.send(AttemptEnded(now=2.0, call=FAULTY, attempt=1, end=AttemptEnd.COMPLETE))
         assert driver.error(FAULTY) is None
 
 
-class TestOwn:
-    """A call whose own step fails is answered at once, and does not wait for its deadline."""
+class TestOwnStep:
+    """A call whose own step fails is answered immediately, not at its deadline."""
 
     @pytest.mark.parametrize(
         ("event", "module", "step"),
@@ -248,42 +252,42 @@
                 _attempts,
                 "retry",
             ),
-            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _removal, "retry"),
+            (AttemptSilent(now=1.0, call=FAULTY, attempt=1), _failover, "retry"),
         ],
     )
     def test_answered(
         self, event: ServingEvent, module: object, step: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """It has lost its attempt, so that nothing else would come."""
-        driver = sent()
-        monkeypatch.setattr(module, step, failing(getattr(module, step)))
+        """The call has no attempt left, so no later event would end it."""
+        driver = driver_with_sent_calls()
+        monkeypatch.setattr(module, step, failing_at_call(getattr(module, step)))
         driver.send(event)
         assert type(driver.error(FAULTY)) is AzureswitchError
 
     def test_claimed(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """So is one that cannot be sent once its claim is granted, which is settled."""
+        """A call that cannot be sent after its claim is granted ends, and the claim is settled."""
         driver = Driver(faulty=True)
         driver.arrive(plain_call(FAULTY))
-        monkeypatch.setattr(_reduce, "dispatch", failing(_reduce.dispatch))
+        monkeypatch.setattr(_reduce, "dispatch", failing_at_call(_reduce.dispatch))
         effects = driver.send(ClaimGranted(now=0.0, call=FAULTY))
         assert type(driver.error(FAULTY)) is AzureswitchError
         assert len(only(SettleClaim, effects)) == 1
 
 
 def unreachable(driver: Driver, target: TargetName) -> None:
-    """Let a target answer no poll for long enough."""
+    """Make a target unreachable for long enough that its attempts are lost."""
     for now in (0.0, LOST_SECONDS + 0.1):
         driver.send(TargetUnreachable(now=now, target=target))
 
 
 def restarted(driver: Driver, target: TargetName) -> None:
-    """Let a target start again."""
+    """Make a target restart."""
     targets = [replace(item, started=2 if item.name == target else 1) for item in ENGINES]
     driver.send(SnapshotAdopted(now=1.0, snapshot=snapshot(revision=3, targets=targets)))
 
 
 def stuck(driver: Driver, target: TargetName) -> None:
-    """Let a target say for long enough that requests wait there and none runs."""
+    """Make a target report queued requests and no running ones until it counts as stuck."""
     for sequence, now in enumerate((0.0, STUCK_SECONDS + 0.1), start=1):
         report = LoadReport(
             target=target,
@@ -301,24 +305,24 @@
 
 
 class TestRemoval:
-    """As a target loses several attempts, each call goes on elsewhere but one that fails."""
+    """If a target loses several attempts, all calls but the faulty one continue elsewhere."""
 
     @pytest.mark.parametrize(
-        ("bring", "step"), [(unreachable, "retry"), (restarted, "dispatch"), (stuck, "dispatch")]
+        ("remove", "step"), [(unreachable, "retry"), (restarted, "dispatch"), (stuck, "dispatch")]
     )
     def test_others(
         self,
-        bring: Callable[[Driver, TargetName], None],
+        remove: Callable[[Driver, TargetName], None],
         step: str,
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
-        """Those that do not fail are sent again."""
+        """The other calls are sent again."""
         driver = Driver(config=snapshot(targets=ENGINES[:1]), faulty=True)
         for name in CALLS:
             driver.arrive(model_call(name, tokens=10))
         driver.send(SnapshotAdopted(now=0.0, snapshot=snapshot(revision=2, targets=ENGINES)))
-        monkeypatch.setattr(_removal, step, failing(getattr(_removal, step)))
-        bring(driver, TargetName("e1"))
+        monkeypatch.setattr(_failover, step, failing_at_call(getattr(_failover, step)))
+        remove(driver, TargetName("e1"))
         driver.tick(3.0)
         assert type(driver.error(FAULTY)) is AzureswitchError
         again = {start.call for start in only(StartAttempt, driver.effects) if start.attempt > 1}
