--- a/src/azureswitch/gateway/_handler.py
+++ b/src/azureswitch/gateway/_handler.py
@@ -198,6 +198,6 @@
 
 def _timeout_seconds(arrival: RequestInfo, route: Route) -> float:
     """Return the request's timeout in seconds: the caller's, capped by the route's."""
-    if arrival.quarantine_seconds is None:
+    if arrival.seconds_left is None:
         return route.timeout
-    return min(arrival.quarantine_seconds, route.timeout)
+    return min(arrival.seconds_left, route.timeout)
--- a/src/azureswitch/gateway/_model.py
+++ b/src/azureswitch/gateway/_model.py
@@ -92,7 +92,7 @@
     Attributes:
         id: The caller's id of this attempt.
         key: The API key, or None.
-        quarantine_seconds: How long the caller will wait, or None if not given.
+        seconds_left: How long the caller will wait, or None if not given.
         model: The requested model; empty for plain services.
         prompt_tokens: Tokens of the prompt.
         output_tokens: The maximum output tokens.
@@ -101,7 +101,7 @@
 
     id: CallId
     key: str | None = None
-    quarantine_seconds: float | None = None
+    seconds_left: float | None = None
     model: str = ""
     prompt_tokens: int = 0
     output_tokens: int = 0
@@ -127,7 +127,7 @@
         arrival: The request's headers, decoded.
         customer: The customer; empty if no keys are required.
         target: The only target that may run it, even if another one has the same address.
-        quarantine_seconds: How long the caller still waits.
+        seconds_left: How long the caller still waits.
         last_event: The id of the last event that the caller has received; zero for none.
         urgency: The admission priority; smaller goes first.
         helpers: The engines that help to process the prompt.
@@ -136,7 +136,7 @@
     arrival: RequestInfo
     customer: CustomerName
     target: str
-    quarantine_seconds: float
+    seconds_left: float
     last_event: int
     urgency: int
     helpers: tuple[Helper, ...] = ()
--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -192,7 +192,7 @@
             arrival=record.arrival,
             customer=record.call.customer,
             target=first.name,
-            quarantine_seconds=left,
+            seconds_left=left,
             last_event=record.last_event,
             urgency=effect.priority,
             helpers=tuple(_helper(target, tickets) for target in targets[1:]),
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -46,7 +46,7 @@
         return RequestInfo(
             id=CallId(_id(headers)),
             key=_key(headers.get(names.KEY, "")),
-            quarantine_seconds=None if left is None else left / 1_000.0,
+            seconds_left=None if left is None else left / 1_000.0,
             model=headers.get(names.MODEL, ""),
             prompt_tokens=prompt,
             output_tokens=output,
@@ -61,7 +61,7 @@
         """Return the headers with which an attempt is sent to a target."""
         passed = _without(request.headers, names.SET_BY_US)
         added = [
-            (names.MILLISECONDS_LEFT, str(max(1, int(sending.quarantine_seconds * 1_000.0)))),
+            (names.MILLISECONDS_LEFT, str(max(1, int(sending.seconds_left * 1_000.0)))),
             (names.EXPECTED_TARGET, sending.target),
         ]
         if sending.customer:
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -192,7 +192,7 @@
         assert arrival == RequestInfo(
             id=CallId("9c41"),
             key="key",
-            quarantine_seconds=1.5,
+            seconds_left=1.5,
             model="m",
             prompt_tokens=1_460,
             output_tokens=80,
@@ -237,7 +237,7 @@
                     arrival=dialect.read(caller),
                     customer=CustomerName("ann"),
                     target="i-1",
-                    quarantine_seconds=1.2345,
+                    seconds_left=1.2345,
                     last_event=7,
                     urgency=-9,
                     helpers=(Helper(address="1:1", ticket="t"), Helper(address="2:2")),
