--- a/models/stopping.py
+++ b/models/stopping.py
@@ -25,7 +25,7 @@
     EndRequests,
     Neighbours,
     Phase,
-    StopLooked,
+    StopObserved,
     Stopping,
 )
 from models.stopping_admission import Admission
@@ -34,7 +34,7 @@
 """Ticks, of a second each, from the signal until a process is killed."""
 
 LOOKS = 20
-"""Looks of a stopping process in a tick; `STOP_CHECK` of the gateway is 0.05 s."""
+"""Looks of a stopping process in a tick; `STOP_CHECK_SECONDS` of the gateway is 0.05 s."""
 
 LOADING_LEAST = 1
 """Ticks from the end of a process until the next one listens; 1.0 to 1.2 s were measured."""
@@ -374,10 +374,10 @@
     return READS_ON if host.reading and now < ENDS_FREELY else ""
 
 
-def _looked(host: Host, neighbours: Neighbours, *, now: float, unread: bool) -> StopLooked:
+def _looked(host: Host, neighbours: Neighbours, *, now: float, unread: bool) -> StopObserved:
     """Return what a host sees; callers that read no last answer keep their connections."""
     with_caller = (host.early and not host.left, host.late, host.kept, host.reading, unread)
-    return StopLooked(
+    return StopObserved(
         now=now,
         connections=sum(map(bool, with_caller)),
         open_requests=sum(map(bool, (host.early, host.late))),
--- a/src/azureswitch/gateway/__init__.py
+++ b/src/azureswitch/gateway/__init__.py
@@ -1,17 +1,17 @@
-"""Passes callers' requests on to targets and their answers back, as they are."""
+"""Forwards callers' requests to targets and relays the answers unchanged."""
 
 from azureswitch.gateway._gateway import Gateway
 from azureswitch.gateway._log import PeersKnown
 from azureswitch.gateway._model import (
-    Arrival,
+    AdvertisedLimit,
+    AnswerInfo,
+    AttemptInfo,
     Deployment,
     Helper,
-    NamedLimit,
+    RequestInfo,
     Route,
     RouteKind,
-    Sending,
     Share,
-    Verdict,
 )
 from azureswitch.gateway._ports import Dialect, Reservations
 from azureswitch.gateway._prepared import Prepared, prepare
@@ -21,20 +21,20 @@
 __all__ = [
     "Neighbours",
     "neighbours_of",
-    "Arrival",
+    "RequestInfo",
     "Deployment",
     "Dialect",
     "Gateway",
     "GatewaySettings",
     "Helper",
-    "NamedLimit",
+    "AdvertisedLimit",
     "PeersKnown",
     "Prepared",
     "Reservations",
     "Route",
     "RouteKind",
-    "Sending",
+    "AttemptInfo",
     "Share",
-    "Verdict",
+    "AnswerInfo",
     "prepare",
 ]
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -94,7 +94,7 @@
                     self._foreign.set_entries(CONFIGURATION_KIND, (_unreadable(item, error),))
                     continue
                 self._foreign.set_entries(CONFIGURATION_KIND, ())
-                if self._gateway.is_news(deployment):
+                if self._gateway.is_newer(deployment):
                     prepared = yield from prepare(deployment)
                     yield from self._put_in_force(prepared)
         finally:
@@ -109,7 +109,7 @@
             found = yield from self._reader.read_steps(listed, deployment=prepared.deployment)
             yield len(listed) + len(prepared.customers) > TURN_ENTRIES
         self._foreign.set_entries(TARGETS_KIND, found.foreign)
-        self._gateway.put_in_force(prepared, targets=found.targets)
+        self._gateway.activate(prepared, targets=found.targets)
         self._notify_configured()
 
     def _notify_configured(self) -> None:
--- a/src/azureswitch/platform/_dialect.py
+++ b/src/azureswitch/platform/_dialect.py
@@ -9,7 +9,7 @@
 from azureswitch.client import HOP_BY_HOP, Headers, HttpHead
 from azureswitch.core import CallId
 from azureswitch.exceptions import AzureswitchError, InvalidHeaderError
-from azureswitch.gateway import Arrival, Helper, NamedLimit, Sending, Verdict
+from azureswitch.gateway import AdvertisedLimit, AnswerInfo, AttemptInfo, Helper, RequestInfo
 from azureswitch.platform import _headers as names
 from azureswitch.server import HttpRequest
 
@@ -38,12 +38,12 @@
 class PlatformDialect:
     """Implements `azureswitch.gateway.Dialect` for the platform's headers."""
 
-    def read(self, request: HttpRequest) -> Arrival:
+    def read(self, request: HttpRequest) -> RequestInfo:
         """Decode a caller's headers."""
         headers = dict(request.headers)
         prompt, output = _tokens(headers.get(names.TOKENS))
         left = _number(headers, names.MILLISECONDS_LEFT)
-        return Arrival(
+        return RequestInfo(
             id=CallId(_id(headers)),
             key=_key(headers.get(names.KEY, "")),
             seconds_left=None if left is None else left / 1_000.0,
@@ -57,7 +57,7 @@
         """Return the caller's id of this attempt, or an empty string if it sent none."""
         return request.header(names.ID) or ""
 
-    def sending(self, request: HttpRequest, sending: Sending) -> Headers:
+    def sending(self, request: HttpRequest, sending: AttemptInfo) -> Headers:
         """Return the headers of an attempt to a target."""
         passed = _without(request.headers, names.SET_BY_US)
         added = [
@@ -76,11 +76,11 @@
             added.append((names.HELPERS, helpers))
         return (*passed, *added)
 
-    def judge(self, head: HttpHead) -> Verdict:
+    def decode_answer(self, head: HttpHead) -> AnswerInfo:
         """Decode the head of a target's response."""
         promised = head.header(name=names.NOT_RUN) is not None
         misdirected = head.status == MISDIRECTED
-        return Verdict(
+        return AnswerInfo(
             not_run=promised or misdirected,
             id=head.header(name=names.ID),
             retry_after=head.retry_after,
@@ -104,7 +104,7 @@
         return headers, msgspec.json.encode(Failure(error=error.code, message=error.message))
 
 
-def _limit(head: HttpHead) -> NamedLimit | None:
+def _limit(head: HttpHead) -> AdvertisedLimit | None:
     """Return the request rate limit that a target sent, the smallest if it sent several.
 
     The limit has no rate if any of the values is not a decimal number.
@@ -114,7 +114,7 @@
         return None
     readable = all(DECIMAL.fullmatch(text) for text in texts)
     rate = min(map(float, texts)) if readable else None
-    return NamedLimit(text=", ".join(texts)[:MAX_LOGGED_CHARACTERS], rate=rate)
+    return AdvertisedLimit(text=", ".join(texts)[:MAX_LOGGED_CHARACTERS], rate=rate)
 
 
 def _helper(helper: Helper) -> str:
--- a/tests/gateway/test_deadline.py
+++ b/tests/gateway/test_deadline.py
@@ -1,4 +1,4 @@
-"""A request is ended right before its deadline: in time for its caller, and no sooner."""
+"""Tests that a request is ended just before its deadline, and no earlier."""
 
 import asyncio
 
@@ -7,10 +7,10 @@
 from azureswitch.exceptions import DeadlineExceededError
 from azureswitch.gateway import Gateway, RouteKind, _shell
 from azureswitch.gateway._log import RequestFailed
-from tests.gateway.fixtures import PATIENCE, Act, KeptLog, deployment, route, serve
+from tests.gateway.fixtures import PATIENCE, Act, RecordingLog, deployment, route, serve
 
 SECONDS = 0.5
-"""What the route permits."""
+"""The route's timeout."""
 
 DURATION_MARGIN = 0.02
 """Seconds before its deadline at which a request may be ended."""
@@ -20,18 +20,18 @@
 
 
 def configure(gateway: Gateway) -> None:
-    """Give requests little time."""
+    """Configure a route with a short timeout."""
     lookups = route(RouteKind.IDEMPOTENT, prefix="/read/", service="plain", timeout=SECONDS)
     gateway.adopt(deployment(routes=(lookups,)))
 
 
 @pytest.mark.parametrize("tick", [_shell.TICK_SECONDS, PATIENCE])
 def test_silent(tick: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is not failed while its answer could come in time, and does not wait for a tick."""
+    """A request does not fail before its deadline, nor wait for the next tick after it."""
 
     async def scenario() -> None:
         monkeypatch.setattr(_shell, "TICK_SECONDS", tick)
-        log = KeptLog()
+        log = RecordingLog()
         async with serve(acts=(Act.HANG,) * COUNT, configure=configure, log=log) as bed:
             asking = []
             for number in range(COUNT):
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,7 +14,14 @@
     PlatformSettingsError,
     UnknownPathError,
 )
-from azureswitch.gateway import Arrival, Helper, NamedLimit, RouteKind, Sending, Verdict
+from azureswitch.gateway import (
+    AdvertisedLimit,
+    AnswerInfo,
+    AttemptInfo,
+    Helper,
+    RequestInfo,
+    RouteKind,
+)
 from azureswitch.inventory import TargetRole
 from azureswitch.platform import (
     PlatformDialect,
@@ -63,22 +70,22 @@
 
 
 LIMITS = (
-    (["1"], NamedLimit(text="1", rate=1.0)),
-    (["0.5"], NamedLimit(text="0.5", rate=0.5)),
-    ([" 12.25 "], NamedLimit(text="12.25", rate=12.25)),
-    (["0"], NamedLimit(text="0", rate=0.0)),
-    (["9" * 300], NamedLimit(text="9" * 64, rate=float("9" * 300))),
-    (["9" * 400], NamedLimit(text="9" * 64)),
-    ([""], NamedLimit(text="")),
-    (["-1"], NamedLimit(text="-1")),
-    (["nan"], NamedLimit(text="nan")),
-    (["inf"], NamedLimit(text="inf")),
-    (["1e3"], NamedLimit(text="1e3")),
-    (["1_0"], NamedLimit(text="1_0")),
-    (["many"], NamedLimit(text="many")),
-    (["٣"], NamedLimit(text="٣")),
-    (["3", "2"], NamedLimit(text="3, 2", rate=2.0)),
-    (["3", "many"], NamedLimit(text="3, many")),
+    (["1"], AdvertisedLimit(text="1", rate=1.0)),
+    (["0.5"], AdvertisedLimit(text="0.5", rate=0.5)),
+    ([" 12.25 "], AdvertisedLimit(text="12.25", rate=12.25)),
+    (["0"], AdvertisedLimit(text="0", rate=0.0)),
+    (["9" * 300], AdvertisedLimit(text="9" * 64, rate=float("9" * 300))),
+    (["9" * 400], AdvertisedLimit(text="9" * 64)),
+    ([""], AdvertisedLimit(text="")),
+    (["-1"], AdvertisedLimit(text="-1")),
+    (["nan"], AdvertisedLimit(text="nan")),
+    (["inf"], AdvertisedLimit(text="inf")),
+    (["1e3"], AdvertisedLimit(text="1e3")),
+    (["1_0"], AdvertisedLimit(text="1_0")),
+    (["many"], AdvertisedLimit(text="many")),
+    (["٣"], AdvertisedLimit(text="٣")),
+    (["3", "2"], AdvertisedLimit(text="3, 2", rate=2.0)),
+    (["3", "many"], AdvertisedLimit(text="3, many")),
 )
 """Values of a target's limit headers, and the limits read from them."""
 
@@ -182,7 +189,7 @@
                 ("authorization", "bearer  key "),
             )
         )
-        assert arrival == Arrival(
+        assert arrival == RequestInfo(
             id=CallId("9c41"),
             key="key",
             seconds_left=1.5,
@@ -226,7 +233,7 @@
         headers = dict(
             dialect.sending(
                 caller,
-                Sending(
+                AttemptInfo(
                     arrival=dialect.read(caller),
                     customer=CustomerName("ann"),
                     target="i-1",
@@ -255,34 +262,34 @@
             (
                 200,
                 (("x-azureswitch-response-seal", "s"), ("x-azureswitch-attempt-id", "1")),
-                Verdict(not_run=False, id="1", sealed=True),
+                AnswerInfo(not_run=False, id="1", sealed=True),
             ),
-            (503, (("x-azureswitch-not-executed", "1"),), Verdict(not_run=True)),
-            (503, (), Verdict(not_run=False)),
-            (421, (("at-server", "1:1"),), Verdict(not_run=True, at_fault="1:1")),
+            (503, (("x-azureswitch-not-executed", "1"),), AnswerInfo(not_run=True)),
+            (503, (), AnswerInfo(not_run=False)),
+            (421, (("at-server", "1:1"),), AnswerInfo(not_run=True, at_fault="1:1")),
             (
                 503,
                 (("x-azureswitch-not-executed", "1"), ("retry-after", "0.5")),
-                Verdict(not_run=True, retry_after=0.5),
+                AnswerInfo(not_run=True, retry_after=0.5),
             ),
-            (200, (("content-encoding", "br"),), Verdict(not_run=False, readable=False)),
-            (500, (("server-leaving", "1"),), Verdict(not_run=False, leaving=True)),
-            (200, (("server-leaving", "0"),), Verdict(not_run=False)),
-            (421, (("server-leaving", "1"),), Verdict(not_run=True)),
+            (200, (("content-encoding", "br"),), AnswerInfo(not_run=False, readable=False)),
+            (500, (("server-leaving", "1"),), AnswerInfo(not_run=False, leaving=True)),
+            (200, (("server-leaving", "0"),), AnswerInfo(not_run=False)),
+            (421, (("server-leaving", "1"),), AnswerInfo(not_run=True)),
             *[
                 (
                     200,
                     tuple(("server-limit", text) for text in texts),
-                    Verdict(not_run=False, limit=limit),
+                    AnswerInfo(not_run=False, limit=limit),
                 )
                 for texts, limit in LIMITS
             ],
-            (421, (("server-limit", "1"),), Verdict(not_run=True)),
+            (421, (("server-limit", "1"),), AnswerInfo(not_run=True)),
         ],
     )
-    def test_judge(self, status: int, headers: Headers, verdict: Verdict) -> None:
+    def test_judge(self, status: int, headers: Headers, verdict: AnswerInfo) -> None:
         """The verdict follows from the status and the headers of the response."""
-        assert PlatformDialect().judge(HttpHead(status=status, headers=headers)) == verdict
+        assert PlatformDialect().decode_answer(HttpHead(status=status, headers=headers)) == verdict
 
     @pytest.mark.parametrize(
         ("error", "after"), [(NoTargetError(seconds=0.25), "0.250"), (UnknownPathError(), None)]
