--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -12,7 +12,7 @@
 from azureswitch_standins.store import StoreStandin
 from bench.soak._documents import DESK, ZONES, configuration
 from tests.gateway.fixtures import FakeTarget, Fleet
-from tests.gateway.test_limits import SETTLE, WINDOW, allowed, most
+from tests.gateway.test_limits import SETTLE_SECONDS, WINDOW_SECONDS, max_allowed, max_in_window
 from tests.platform.callers import ask
 from tests.platform.test_edge import NETWORK, edge, run, until_listening, until_metric
 
@@ -75,11 +75,13 @@
                     await until_metric(ip, "azureswitch_targets_serving", 2.0)
                 fleet.limits = {"a": limit}
                 pressing = [
-                    press(callers, seconds=SETTLE + 1.5 * WINDOW, seed=seed)
+                    press(callers, seconds=SETTLE_SECONDS + 1.5 * WINDOW_SECONDS, seed=seed)
                     for seed, callers in enumerate(hosts)
                 ]
                 statuses = [status for part in await asyncio.gather(*pressing) for status in part]
-                assert most(fleet.times["a"], begin=fleet.times["a"][0] + SETTLE) <= allowed(limit)
+                assert max_in_window(
+                    fleet.times["a"], begin=fleet.times["a"][0] + SETTLE_SECONDS
+                ) <= max_allowed(limit)
                 assert statuses.count(200) >= 0.95 * len(statuses)
             await store.stop()
 
--- a/tests/serving/limits.py
+++ b/tests/serving/limits.py
@@ -34,7 +34,7 @@
     Ticked,
     reduce,
 )
-from tests.gateway.test_limits import allowed, most
+from tests.gateway.test_limits import max_allowed, max_in_window
 from tests.serving.engines import SERVICE, snapshot
 from tests.serving.test_domains import PACE
 
@@ -177,7 +177,7 @@
         """Return by how many requests a target exceeded its limit in any window."""
         name = TargetName(target)
         times = self.targets.times.get(name, [])
-        return most(times, begin=named + 3.0) - allowed(str(self.targets.limits[name]))
+        return max_in_window(times, begin=named + 3.0) - max_allowed(str(self.targets.limits[name]))
 
     def arrived(self, target: str, *, start: float, end: float) -> int:
         """Return how many requests a target got in a period."""
