--- a/tests/gateway/test_deadline.py
+++ b/tests/gateway/test_deadline.py
@@ -12,7 +12,7 @@
 SECONDS = 0.5
 """The route's timeout."""
 
-DURATION_MARGIN = 0.02
+EARLY_END_SECONDS = 0.02
 """Seconds before its deadline at which a request may be ended."""
 
 COUNT = 12
@@ -42,6 +42,6 @@
             ends = [entry for entry in log.entries if isinstance(entry, RequestFailed)]
             assert len(ends) == COUNT
             assert {entry.code for entry in ends} == {DeadlineExceededError.code}
-            assert min(entry.seconds for entry in ends) >= SECONDS - DURATION_MARGIN - 0.001
+            assert min(entry.seconds for entry in ends) >= SECONDS - EARLY_END_SECONDS - 0.001
 
     asyncio.run(scenario())
