--- a/src/azureswitch/gateway/_gateway.py
+++ b/src/azureswitch/gateway/_gateway.py
@@ -170,7 +170,7 @@
 
     @property
     def shell(self) -> Shell:
-        """Runs the requests."""
+        """The shell, which runs the requests."""
         return self._shell
 
     @property
--- a/src/azureswitch/gateway/_log.py
+++ b/src/azureswitch/gateway/_log.py
@@ -160,7 +160,7 @@
         seconds: How long it took.
         first: Seconds to the first event, or to the answer.
         pause: The longest pause between two events, in seconds.
-        on_time: Whether both were within the route's objectives.
+        on_time: Whether ``first`` and ``pause`` were within the route's objectives.
         attempts: Number of attempts.
     """
 
@@ -273,7 +273,7 @@
     Attributes:
         target: The target.
         before: The previous limit, in requests per second.
-        age: Seconds since a host received it.
+        age: Seconds since a host observed that it ended.
     """
 
     part: ClassVar[str] = "gateway"
@@ -383,7 +383,7 @@
     """The host was suspended; timers that expired meanwhile fire now.
 
     Attributes:
-        seconds: Duration of the suspension.
+        seconds: Duration of the suspension, in seconds.
     """
 
     sentence: ClassVar[str] = "Host was suspended."
@@ -401,7 +401,7 @@
     """The process exits.
 
     Attributes:
-        seconds: Time since the stop was ordered.
+        seconds: Seconds since the stop was ordered.
     """
 
     part: ClassVar[str] = "gateway"
--- a/src/azureswitch/gateway/_notices.py
+++ b/src/azureswitch/gateway/_notices.py
@@ -48,7 +48,7 @@
             )
 
     def handle(self, target: Target, verdict: AnswerInfo, *, id: str) -> None:
-        """Process an answer.  An answer without a limit does not end a known one here.
+        """Process an answer; one without a limit leaves a known limit in force.
 
         Args:
             target: The target that answered.
--- a/src/azureswitch/gateway/_relay.py
+++ b/src/azureswitch/gateway/_relay.py
@@ -61,7 +61,7 @@
 
 
 class Relay:
-    """Runs attempts.
+    """Runs attempts: sends a request to a target and relays its answer to the caller.
 
     Args:
         dialect: Encodes and decodes the headers exchanged with callers and targets.
--- a/src/azureswitch/gateway/_silence.py
+++ b/src/azureswitch/gateway/_silence.py
@@ -18,13 +18,13 @@
 class SilenceTimer:
     """Context manager that calls back whenever a target is silent for too long.
 
-    Stalls of this process do not count as silence.  Otherwise a host that was frozen for twice the
-    timeout would abandon its stream on resuming, with events unread in the socket, and run the
-    request a second time.
+    Stalls of this process do not count as silence.  Without this rule, a host that was frozen for
+    twice the timeout abandoned its stream on resuming, with events unread in the socket, and ran
+    the request a second time.
 
     Args:
         seconds: The timeout, or infinity.
-        silent: The callback.  The timer restarts after each call unless the block is left.
+        silent: The callback.  The timer restarts before each call, until the block is left.
     """
 
     def __init__(self, *, seconds: float, silent: Callable[[], None]) -> None:
--- a/src/azureswitch/gateway/_stopping.py
+++ b/src/azureswitch/gateway/_stopping.py
@@ -20,13 +20,23 @@
 from azureswitch.serving import BALANCER_SECONDS
 
 LINGER_SECONDS = BALANCER_SECONDS
-"""Minimum seconds for which a leaving process keeps listening."""
+"""Seconds for which a leaving process listens before it may close its listener.
+
+They are capped at half of the time from the stop order until the open requests are ended, which
+matters when the grace period is short.
+"""
 
 CLOSE_MARGIN = 2.0
-"""Seconds before the end at which a process stops listening; most requests take less."""
+"""Seconds before the open requests are ended at which a process stops listening in any case.
+
+Most requests take less.  The same cap applies as to `LINGER_SECONDS`.
+"""
 
 EXIT_MARGIN = 0.4
-"""Seconds before it would be killed at which the process exits by itself."""
+"""Seconds before the platform would kill the process at which a stop ends the open requests.
+
+The process uses them to send the final answers and to exit by itself.
+"""
 
 FLUSH_SECONDS = 0.15
 """Seconds for sending the final answers; callers are within 10 ms."""
@@ -107,10 +117,10 @@
     """The state of a stop; times are in seconds of the monotonic clock.
 
     Attributes:
-        told: When the process was told to stop.
+        told: When the stop was ordered.
         end: When the requests that are still open are ended.
         phase: The current phase.
-        phase_since: When it began.
+        phase_since: When the current phase began.
         known: The most neighbours known at any observation.  A neighbour that has exited is not
             known until its next process listens, but the load balancer still counts it.  Without
             this maximum a host whose only neighbour is starting would consider itself alone, and
--- a/src/azureswitch/gateway/_tickets.py
+++ b/src/azureswitch/gateway/_tickets.py
@@ -67,7 +67,7 @@
         return self._held
 
     async def stop(self, *, timeout: float) -> None:
-        """Wait up to ``timeout`` seconds for pending releases, and cancel the rest."""
+        """Wait for pending releases, then cancel the rest; each step takes up to ``timeout`` s."""
         await self._tasks.settle(timeout=timeout)
         await self._tasks.stop(timeout=timeout)
 
--- a/src/azureswitch/platform/_adoption.py
+++ b/src/azureswitch/platform/_adoption.py
@@ -36,7 +36,7 @@
         gateway: The gateway.
         reader: Reads targets.
         foreign: Records the entries that cannot be read.
-        on_configured: Called each time that the gateway has both a configuration and a target.
+        on_configured: Called after each change once the gateway has a configuration and a target.
     """
 
     def __init__(
--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -62,7 +62,10 @@
 """
 
 STORE_PAUSE_SECONDS = 0.15
-"""Seconds between watch calls that return changes; all targets register at a start."""
+"""Seconds between watch calls that return changes.
+
+When the system starts, all targets register; the pause lets a call return many of these changes.
+"""
 
 RETRY_BUDGET_SHARE = 0.8
 """Fraction of the permitted retries that is used, as each host counts only its own."""
@@ -70,8 +73,8 @@
 FULL_HOSTS = 128
 """Largest fleet in which each host is notified at once of the sends of all other hosts.
 
-In a larger fleet it is notified only of those of its own failure domain.  Without this, 77 hosts
-chose engines by their own sends alone.
+In a larger fleet it is notified at once only of the sends in its own failure domain.  Without such
+notifications, 77 hosts chose engines by their own sends alone.
 """
 
 SHUTDOWN_SECONDS = 0.05
@@ -179,7 +182,7 @@
         self._digests = Digests(
             myself=myself,
             peers=self._network,
-            members=self._listeners,
+            members=self._notified_hosts,
             dispatch=self._gateway.shell.dispatch,
             clock=elapsed,
             seed=seed,
@@ -189,7 +192,7 @@
         self._permits = PermitExchange(
             host=settings.host,
             peers=self._network,
-            members=self._listeners,
+            members=self._notified_hosts,
             dispatch=self._gateway.shell.dispatch,
             clock=elapsed,
         )
@@ -222,10 +225,10 @@
         ]
         await self._until_configured()
         await self._gateway.start(callers=callers)
-        told = await stop.wait()
+        grace_start = await stop.wait()
         leaving = asyncio.create_task(self._membership.leave(), name="leave")
         # When this returns, all requests have been answered, whatever else fails to end.
-        await self._gateway.stop(told=told)
+        await self._gateway.stop(told=grace_start)
         # Runs concurrently, because the grace period is almost over.
         await asyncio.gather(
             end_tasks([*loops, leaving], prefix="edge", timeout=SHUTDOWN_SECONDS),
@@ -288,7 +291,7 @@
         shell = self._gateway.shell
         shell.dispatch(CrashesRecalled(now=shell.now, reports=reports))
 
-    def _listeners(self) -> tuple[Member, ...]:
+    def _notified_hosts(self) -> tuple[Member, ...]:
         """Return the hosts that are notified of sends: members, and hosts expected to join.
 
         Of 195 hosts that start together, each knows 40 of the others after 1.5 s and 179 after 3 s
--- a/src/azureswitch/platform/_foreign.py
+++ b/src/azureswitch/platform/_foreign.py
@@ -14,7 +14,10 @@
 from azureswitch.status import ForeignCollection, ForeignEntry
 
 MAX_LINES = 20
-"""Log lines on foreign entries per `LINES_WINDOW_SECONDS`; the host's log takes 200 a second."""
+"""Maximum log lines on foreign entries in `LINES_WINDOW_SECONDS`.
+
+The host's log takes 200 lines a second.
+"""
 
 LINES_WINDOW_SECONDS = 10.0
 
--- a/src/azureswitch/platform/_orders.py
+++ b/src/azureswitch/platform/_orders.py
@@ -67,7 +67,12 @@
             raise TargetRefusedError(target=address)
 
     async def release(self, *, address: str, ticket: str) -> None:
-        """Release reserved memory."""
+        """Release reserved memory.
+
+        Raises:
+            TargetRefusedError: The order was not sent.
+            TargetBrokenError: The connection failed after the order was sent.
+        """
         await self._order(address, ticket, msgspec.json.encode(WireRelease(ticket=ticket)))
 
     async def _order(self, address: str, ticket: str, body: bytes) -> int:
--- a/src/azureswitch/platform/_program.py
+++ b/src/azureswitch/platform/_program.py
@@ -39,7 +39,7 @@
 
 NOT_TOLD: Mapping[int, float] = MappingProxyType({})
 
-_left: list[asyncio.Task[object]] = []
+_unfinished: list[asyncio.Task[object]] = []
 """Tasks that did not end with the program.
 
 They are kept referenced: on collection their cleanup code would run without an event loop.
@@ -107,7 +107,7 @@
         asyncio.set_event_loop(loop)
         loop.run_until_complete(work)
     finally:
-        _left.extend(asyncio.all_tasks(loop))
+        _unfinished.extend(asyncio.all_tasks(loop))
         loop.close()
 
 
--- a/src/azureswitch/platform/_quarantine.py
+++ b/src/azureswitch/platform/_quarantine.py
@@ -35,7 +35,11 @@
 """Upper bound of the backoff between retries, in seconds."""
 
 DUPLICATE_SECONDS = 60.0
-"""Seconds within which an entry of another host for the same crashes is not rewritten."""
+"""Seconds by which the last crash in a stored entry may be earlier than the one to be written.
+
+An entry within them that has as many crashes is kept, since hosts that saw the same crashes need
+not each write them.
+"""
 
 NAME_DIGITS = 32
 """Hexadecimal digits of a digest in the name of an object."""
--- a/src/azureswitch/platform/_roster.py
+++ b/src/azureswitch/platform/_roster.py
@@ -1,9 +1,9 @@
 """Keeps the list of this system's hosts in the platform's store.
 
 The platform does not provide a list of hosts.  Each host registers its address under its name when
-it starts, and reads the entries of the others.  Stale reads, which cost a tenth, are sufficient:
-membership detects which of the listed hosts are alive, and learns from them of hosts that are not
-listed yet.
+it starts, and reads the entries of the others.  Stale reads, which may be seconds old and cost a
+tenth of other reads, are sufficient: membership detects which of the listed hosts are alive, and
+learns from them of hosts that are not listed yet.
 
 Other programs may write there too; invalid entries are skipped.
 """
--- a/src/azureswitch/platform/_signals.py
+++ b/src/azureswitch/platform/_signals.py
@@ -53,8 +53,8 @@
 
         Args:
             at: When the signal arrived, if that was recorded, as while the program was loading.
-                When the grace period was counted from the start of the process instead, up to 2 s
-                before the signal on a busy machine, a stop cut off a response with 1.8 s left.
+                Counting from the start of the process instead, which on a busy machine is up to 2 s
+                before the signal, made a stop cut off a response with 1.8 s left.
         """
         if self._requested_at is not None:
             return
--- a/src/azureswitch/platform/_store.py
+++ b/src/azureswitch/platform/_store.py
@@ -61,7 +61,7 @@
 """Longest time for which the store lets a call wait for changes, in seconds."""
 
 MIN_WATCH_SECONDS = 0.03
-"""Remaining seconds of a watch below which no further call is made, as each call is paid for."""
+"""Remaining seconds of a watch below which no further call is made, as every call has a cost."""
 
 LOG_INTERVAL_SECONDS = 60.0
 """Minimum seconds between log lines on the same recurring fault of the store."""
@@ -70,7 +70,7 @@
 
 
 def _ignore(method: str, kind: str, result: str) -> None:
-    """Do nothing, by default, on a call."""
+    """Ignore a call; the default of ``called``."""
 
 
 def _log_restored(era: int) -> None:
@@ -157,7 +157,7 @@
 
         Args:
             kind: The kind.
-            stale: Whether the result may be seconds old; such a call costs a tenth.
+            stale: Whether the result may be seconds old; it costs a tenth of another read.
         """
         items: list[StoredObject] = []
         unnamed: list[str] = []
@@ -181,7 +181,7 @@
             if not page.items:
                 # The next page is requested by name; objects on it must not count as removed.
                 raise StoreUnavailableError(key=kind)
-            # The platform calls the name after which the next page starts a revision.
+            # Despite its name, this parameter holds the name after which the next page starts.
             query["AfterRev"] = page.items[-1].name
 
     async def create(self, *, kind: str, name: str, value: bytes) -> StoredObject:
@@ -265,13 +265,13 @@
         Raises:
             StoreError: The response is from an older era; ``lost`` is raised.
         """
-        told = head.header(name=STORE_ERA)
-        if told is None:
+        text = head.header(name=STORE_ERA)
+        if text is None:
             return
-        era = int(told) if told.isdecimal() else ERA_MOST + 1
+        era = int(text) if text.isdecimal() else ERA_MOST + 1
         if era > ERA_MOST:
             logging.log_every_n_seconds(
-                logging.WARNING, "store: The era %.64r is invalid.", LOG_INTERVAL_SECONDS, told
+                logging.WARNING, "store: The era %.64r is invalid.", LOG_INTERVAL_SECONDS, text
             )
             return
         known, self._era = self._era, max(era, self.era)
--- a/src/azureswitch/platform/_targets.py
+++ b/src/azureswitch/platform/_targets.py
@@ -33,7 +33,7 @@
 """``IP:PORT`` of a host: no host names, IPv6, unspecified or multicast addresses."""
 
 _NAME = re.compile(r"[!-~]{1,256}")
-"""Names that are valid in the header that tells a target for whom a request is meant."""
+"""Names that are valid in the header that names the target of a request."""
 
 
 class WireModel(msgspec.Struct, frozen=True, kw_only=True):
@@ -56,7 +56,7 @@
         cold: Remaining milliseconds for which it is slow after its start.
         sequence: Number of times that it has written its entry.
         started: When its process started, in milliseconds of the wall clock; unlike the
-            other fields, its name is in lower case.
+            other fields, its name in the entry is in lower case.
     """
 
     service: ServiceName = msgspec.field(name="Service")
@@ -98,7 +98,7 @@
 class TargetReader:
     """Reads the targets of a listing.
 
-    Decoded entries are cached until they change: usually one of 600 does at a time.
+    Decoded entries are cached until they change; usually one of 600 changes at a time.
 
     Args:
         places: The known failure domains; empty if they are unknown, so that any is accepted.
@@ -214,7 +214,7 @@
 
 
 def _common_fields(wires: list[WireTarget]) -> tuple[str, ...]:
-    counts = {name: sum(map(tells, wires)) for name, tells in _HAS_FIELD.items()}
+    counts = {name: sum(map(has_field, wires)) for name, has_field in _HAS_FIELD.items()}
     return tuple(name for name, count in counts.items() if len(wires) < 2 * count < 2 * len(wires))
 
 
