--- a/src/azureswitch/gateway/_log.py
+++ b/src/azureswitch/gateway/_log.py
@@ -215,7 +215,7 @@
 
 
 class RequestQuarantined(Entry, frozen=True, kw_only=True):
-    """A request was quarantined because targets crashed while running it.
+    """Targets crashed while running a request, which is sent to no target while in quarantine.
 
     Attributes:
         customer: The customer that it belongs to.
@@ -234,7 +234,7 @@
 
 
 class QuarantineEnded(RequestQuarantined, frozen=True):
-    """A target answered a quarantined request, which is now treated like any other."""
+    """A target answered a quarantined request, which is now sent like any other."""
 
     sentence: ClassVar[str] = "Quarantine ended."
     level: ClassVar[Level] = Level.INFO
--- a/src/azureswitch/gateway/_shell.py
+++ b/src/azureswitch/gateway/_shell.py
@@ -131,7 +131,7 @@
 
     @property
     def quarantined(self) -> int:
-        """Number of requests in quarantine: targets crashed while running them."""
+        """Number of requests in quarantine, sent to no target as targets crashed running them."""
         return self._state.crashes.quarantined()
 
     @property
--- a/src/azureswitch/platform/_edge.py
+++ b/src/azureswitch/platform/_edge.py
@@ -295,7 +295,7 @@
         """Return the hosts that are notified of sends: members, and hosts expected to join.
 
         Of 195 hosts that start together, each knows 40 of the others after 1.5 s and 179 after 3 s
-        (in virtual time), but all of them are in the host list once it has started.
+        (in virtual time), but finds all of them in the host list once it has started.
         """
         return self._membership.members + self._membership.expected
 
