--- a/src/azureswitch/serving/_admission.py
+++ b/src/azureswitch/serving/_admission.py
@@ -40,7 +40,7 @@
 """
 
 LEAVING_MARGIN = 2.5
-"""Factor on the predicted duration of a call that a leaving host starts after that time."""
+"""Factor on a call's predicted duration at a host that has been leaving for `BALANCER_SECONDS`."""
 
 RESTART_SECONDS = 1.5
 """Retry time for callers if this host is leaving and there is no other one.
@@ -93,9 +93,9 @@
 
 
 def _until_usable(targets: Iterable[TargetState], *, now: float) -> float:
-    """Return the seconds until the first target that has asked for a pause is usable again.
+    """Return the seconds until the first paused target is usable again.
 
-    The minimum is `NO_TARGET_SECONDS`.
+    They are at least `NO_TARGET_SECONDS`, also if no target is paused.
     """
     waits = [t.unusable_until - now for t in targets if t.usable(max(now, t.unusable_until))]
     return max(NO_TARGET_SECONDS, min(waits, default=0.0))
--- a/src/azureswitch/serving/_affinity.py
+++ b/src/azureswitch/serving/_affinity.py
@@ -15,8 +15,8 @@
 class PrefixIndex:
     """A bounded map from prefix hash to engines.
 
-    Hashes are salted per customer before they get here, so that customers never share an entry
-    and none can infer another's prompts from timing.
+    The hashes are already salted per customer, so that customers never share an entry and none can
+    infer another's prompts from timing.
     """
 
     def __init__(self) -> None:
--- a/src/azureswitch/serving/_attempts.py
+++ b/src/azureswitch/serving/_attempts.py
@@ -49,12 +49,12 @@
 PERMIT_CREDIT_CALLS = 4
 """Calls' worth of service that a customer with little traffic is credited when permits are short.
 
-A call that waits for a permit is refused after a short time, so that such a customer would else
-lose its turn in the queue each time.
+A call that waits for a permit is refused after a short time, so that such a customer would
+otherwise lose its turn in the queue each time.
 """
 
 MIN_COST_SAMPLE_SECONDS = 0.001
-"""Lower bound of first token times used as cost samples; faster answers were cached."""
+"""Seconds to the first token up to which an answer was cached and is no sample of the cost."""
 
 
 def lane_of(record: CallRecord) -> Lane:
@@ -122,7 +122,7 @@
 
 
 def drain_all(state: ServingState, *, now: float) -> list[Effect]:
-    """Send the waiting calls of all lanes; an exception in one lane is logged and skips it."""
+    """Send the waiting calls of all lanes; an exception in one is logged and the others go on."""
     return [
         effect
         for lane in state.queue.lanes
@@ -202,7 +202,7 @@
 def _set_hedge_timer(
     state: ServingState, record: CallRecord, choice: Choice, *, now: float
 ) -> None:
-    """Schedule a hedge for the first attempt at a short prompt."""
+    """Schedule a hedge in case the first attempt at a short prompt has no output for long."""
     if record.level is not Level.SHORT or record.attempt_count > 1:
         return
     expected = choice.wait + choice.work.seconds * max(1.0, record.cost.stretch)
@@ -376,9 +376,9 @@
 ) -> None:
     """Eject the target of a failed attempt, or back off from it as long as it asked for.
 
-    Of several targets this concerns the one reported at fault, or else the first one, which sends
-    the answer; if their pace is not published, it concerns none.  Nothing is recorded for a target
-    that has restarted since, as the failure was that of its previous start.
+    If the attempt has several targets, this concerns the one reported at fault, or else the first
+    one, which sends the answer; without a published pace, it concerns none.  Nothing is recorded
+    for a target that has restarted since, as the failure was that of its previous start.
     """
     if len(attempt.targets) > 1 and record.pool.pace is None:
         return
--- a/src/azureswitch/serving/_candidates.py
+++ b/src/azureswitch/serving/_candidates.py
@@ -41,7 +41,7 @@
     """The best choice among some engines, with its cost.
 
     Attributes:
-        cost: Cost to the call and to other streams, in late short streams.
+        cost: Cost to the call and to other streams, in units of one late short stream.
         choice: The choice.
     """
 
@@ -52,8 +52,8 @@
 def wait_seconds(occupancy: Occupancy, pace: EnginePace) -> float:
     """Return the predicted seconds until the prefill of a new prompt begins.
 
-    This is one decode pass and the prefill queued before it.  If all slots are taken, it includes
-    the time until a slot is free for each waiting request.
+    This is one decode pass and the prefill queued before it.  If all slots are taken, the
+    mean time until a slot is free is added for each waiting request, this one included.
     """
     writing = pass_seconds(pace) if occupancy.streams or occupancy.long_streams else pace.step
     waiting = max(0, occupancy.streams + occupancy.long_streams + 1 - pace.slots)
--- a/src/azureswitch/serving/_cost.py
+++ b/src/azureswitch/serving/_cost.py
@@ -49,7 +49,8 @@
         decode: Engine seconds for the output, as a share of a full batch.
         answer: Seconds from the first token to the last, by recent observations.
         stretch: Factor by which other work prolongs a prefill, by recent observations.
-        longest: Seconds from the first token to the last if all permitted tokens are produced.
+        longest: Seconds from the first token to the last if all permitted tokens are produced;
+            zero if the engines' pace is not published.
     """
 
     prefill: float
@@ -145,7 +146,7 @@
 
         Args:
             call: The call.
-            pace: How fast the engines work.
+            pace: The performance model of the engines.
             engines: Maximum number of engines that share the prefill.
         """
         reading = read_seconds(pace, call.prompt_tokens) / max(1, engines)
--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -30,7 +30,7 @@
 from azureswitch.serving._events import Call
 
 NO_HOST = HostName("")
-"""Name of no host: the default, with which a retry waits for no turn."""
+"""Default name of this host; it is no live host's, so that retries do not wait for a turn."""
 
 QUARANTINE_CRASHES = 3
 """Crashed targets after which a request is quarantined.
@@ -55,7 +55,7 @@
 """
 
 TURN_SECONDS = 0.5
-"""Seconds between the retries of two hosts; a target that crashes stops responding sooner."""
+"""Seconds between the first retries of two hosts; a crashing target stops responding sooner."""
 
 MAX_TURNS = 6
 """Hosts that retry `TURN_SECONDS` apart; with more, callers of the last would wait too long."""
@@ -76,7 +76,7 @@
 """
 
 REPORT_REPEATS = 3
-"""Digests that report a crash; each one may be lost."""
+"""Number of digests that report each crash, as any of them may be lost."""
 
 MAX_REPORTED_CRASHES = QUARANTINE_CRASHES + len(QUARANTINE_STEPS_SECONDS) - 1
 """Upper bound of crashes reported per request, as many as its quarantine depends on."""
@@ -119,7 +119,7 @@
 
 
 class QuarantineChange(Struct, frozen=True, kw_only=True):
-    """The begin, extension or end of the quarantine of a request.
+    """The start, extension or end of the quarantine of a request.
 
     Attributes:
         report: The crashes known of the request.
@@ -181,7 +181,7 @@
         self._mark_unreported(key)
 
     def answered(self, call: Call) -> None:
-        """Clear a request that a target has answered of its crashes so far."""
+        """Clear a request of its crashes so far, as a target has answered it."""
         if not self._suspects:
             return
         key = _key(call)
@@ -230,7 +230,7 @@
         return len(self._quarantined())
 
     def pop_changes(self, *, now: float) -> list[QuarantineChange]:
-        """Return the quarantines that began, were extended or ended since the last call."""
+        """Return the quarantines that began, were extended or ended since the last check."""
         found = []
         for key in self._changed_keys:
             suspect = self._suspects.get(key)
@@ -288,7 +288,7 @@
             self._unlink(key, start)
 
     def _turn_seconds(self, call: Call) -> float:
-        """Return how long after the first host this one may retry a request."""
+        """Return the seconds by which this host retries a request later than the first host."""
         if self._host not in self._hosts:
             return 0.0
         name = f"{call.customer} {call.fingerprint}"
--- a/src/azureswitch/serving/_digests.py
+++ b/src/azureswitch/serving/_digests.py
@@ -137,7 +137,7 @@
         sequence: Increases with every digest of one incarnation.
         started: The incarnation's start.
         loads: Outstanding work per target; targets with none are left out.
-        uses: Engine time per customer; customers with none are left out.
+        uses: Work admitted per customer; customers without a recent change are left out.
         suspects: Targets that this host avoids as they failed.
         demands: Demand by model.
         saved: Targets whose memory is reserved for a prompt larger than the memory of one target.
@@ -162,7 +162,7 @@
 
     @property
     def targets(self) -> tuple[TargetName, ...]:
-        """The targets of all fields without duplicates, in the same order at the receivers."""
+        """The targets of these fields without duplicates, in an order that receivers reproduce."""
         names = [load.target for load in self.loads]
         names += self.suspects
         names += self.saved
--- a/src/azureswitch/serving/_domains.py
+++ b/src/azureswitch/serving/_domains.py
@@ -46,9 +46,9 @@
         """
         if not self.divided:
             return None
-        now = frozenset(places)
-        # The domains of the last digest must also learn that no attempts are left there.
-        audience = now | self._concerned | {self._own}
+        current = frozenset(places)
+        # Hosts of the last digest's domains receive this one too, to remove attempts that ended.
+        audience = current | self._concerned | {self._own}
         if not regular:
-            self._concerned = now
+            self._concerned = current
         return audience
--- a/src/azureswitch/serving/_effects.py
+++ b/src/azureswitch/serving/_effects.py
@@ -49,9 +49,9 @@
         reserved: Tokens of memory to reserve at each target before the request is sent; empty for
             no reservation.
         first_token: Predicted seconds to the first token, or zero if there is no prediction.
-        known_peers: Number of peers whose sends were known when the target was chosen.
+        known_peers: Number of peers whose attempts were known when the target was chosen.
         first_output_timeout: Seconds without any output before the shell sends `AttemptSilent`.
-        output_gap_timeout: Seconds without further output before it sends that.
+        output_gap_timeout: Seconds without further output before the shell sends it.
         held_back: Number of targets that were excluded because of their rate limits.
     """
 
@@ -89,7 +89,7 @@
 class FinishCall(Effect, frozen=True, kw_only=True):
     """End the caller's answer.
 
-    Without an ``error`` the answer is complete, or is that recorded for an earlier call.
+    Without an ``error`` the answer is complete, or replays the one recorded for an earlier call.
     """
 
     call: CallId
@@ -114,7 +114,7 @@
 
 
 class PublishTotals(Effect, frozen=True, kw_only=True):
-    """Send the total load at the targets of this failure domain to any one host of another."""
+    """Send the total load of this failure domain's targets to any one host of another domain."""
 
     totals: DomainTotals
 
--- a/src/azureswitch/serving/_ending.py
+++ b/src/azureswitch/serving/_ending.py
@@ -2,7 +2,7 @@
 
 An event may concern several calls.  Where handling it raises for one of them, the exception is
 logged and the event is still handled for the others.  The call itself is answered with an error,
-unless it has running attempts that the failed step did not change and was not meant to end.
+unless it has running attempts, the step changed none of them, and it was not to end the call.
 """
 
 from collections.abc import Callable
@@ -165,7 +165,7 @@
         state: The state.
         record: The call.
         error: The caller's answer, or None where the call succeeded or its answer is replayed.
-        outcome: What is recorded of the call's claim, where it holds one.
+        outcome: Outcome to record for the call's claim, if it has one.
         now: The time, in seconds of the monotonic clock.
     """
     call = record.call
--- a/src/azureswitch/serving/_events.py
+++ b/src/azureswitch/serving/_events.py
@@ -150,8 +150,8 @@
         tokens: Output tokens of the whole request that reached the caller.
         cached_tokens: Prompt tokens that the engine found in its cache, or zero if it does not
             report them.
-        retry_after: Seconds after which the target may accept the request, or None if it does not
-            say.
+        retry_after: Seconds after which the target may accept the request, or None if it
+            announces no time.
         error: The failure, for every end but COMPLETE.
         at_fault: The target that failed, for an attempt at several, or None if unknown.
     """
@@ -279,7 +279,7 @@
 
 
 class PeersChanged(ServingEvent, frozen=True, kw_only=True):
-    """The set of live hosts changed, this host included.
+    """The set of live hosts, which includes this one, has changed.
 
     Attributes:
         hosts: The live hosts.
--- a/src/azureswitch/serving/_failover.py
+++ b/src/azureswitch/serving/_failover.py
@@ -16,7 +16,7 @@
 from azureswitch.serving._state import Attempt, CallRecord, ServingState
 
 FULL_SECONDS = 1.0
-"""Seconds for which an engine whose memory is taken gets no new work."""
+"""Seconds for which an engine gets no new work if requests wait there for memory."""
 
 
 def replace_silent(
@@ -25,7 +25,7 @@
     """Move a call off a target that sends no data, if another attempt may follow.
 
     If none may, the target is awaited until the caller disconnects or the deadline passes: engines
-    that read a prompt larger than one engine's memory send nothing for 1 to 2 s and then continue.
+    that prefill a prompt larger than the memory of one send nothing for 1 to 2 s and then continue.
     """
     attempt = record.attempts.get(number)
     if attempt is None or not _may_follow(state, record, now=now):
@@ -43,8 +43,8 @@
 def leave_unreachable(state: ServingState, target: TargetName, *, now: float) -> list[Effect]:
     """Move attempts off a target that no longer answers polls.
 
-    A call stays if it may not be repeated, has no attempt left, or has no other target: its answer
-    may still come.
+    A call stays if it may not be repeated, if no further attempt is permitted, or if it has no
+    other healthy target: its answer may still arrive.
     """
     return _for_each(state, partial(_lose, target=target), now=now)
 
@@ -67,14 +67,14 @@
 def restart_attempts(
     state: ServingState, targets: frozenset[TargetName], *, now: float
 ) -> list[Effect]:
-    """Start new attempts, there or elsewhere, for those at targets that have restarted.
+    """Replace attempts at targets that have restarted by new ones, there or elsewhere.
 
     A call stays if it may not be repeated, if no further attempt is permitted, or if its answer has
-    begun.  Its connection then decides, whenever the restart became known: the connection to a
-    process that has ended breaks at once.  If a slow or unavailable store delayed the news, the
-    attempt may have reached the new process, and its answer arrives.  Only the connection to a
-    machine that is gone stays silent, which is handled like any other silence; a call that may not
-    be repeated then ends at its deadline.
+    begun.  The state of its connection then decides, whenever the restart became known: the
+    connection to a process that has ended breaks at once.  If a slow or unavailable store delayed
+    the notice of the restart, the attempt may have reached the new process, whose answer arrives.
+    Only the connection to a machine that is gone stays silent, which is handled like any other
+    silence; a call that may not be repeated then ends at its deadline.
     """
     return _for_each(state, partial(_resend, targets=targets), now=now)
 
--- a/src/azureswitch/serving/_fairness.py
+++ b/src/azureswitch/serving/_fairness.py
@@ -35,7 +35,7 @@
 """Multiple of its fair share above which a customer's calls are demoted."""
 
 PEER_SILENCE_SECONDS = 2.0
-"""Seconds without a digest after which this host counts as partitioned from its peers."""
+"""Seconds without any digest after which this host counts as partitioned from its peers."""
 
 CLOCK_STEP_SECONDS = 1.0
 """Seconds without a digest of a peer after which a lower incarnation is taken for a restart.
@@ -57,7 +57,7 @@
         pending: Engine seconds of long work that are not deducted from ``level`` yet.
         refilled_at: When ``level`` was last refilled.
         rate: Recent use here and at the peers, in engine seconds per second.
-        exceeds: Whether the rate exceeds its fair share by `EXCESS_FACTOR`.
+        exceeds: Whether the rate is above `EXCESS_FACTOR` times its fair share.
     """
 
     weight: float
@@ -148,7 +148,7 @@
             del self._peers[name]
 
     def apply_digest(self, digest: Digest, *, now: float) -> bool:
-        """Charge what a peer's customers have used since its last digest.
+        """Charge customers for their use at a peer since its last digest.
 
         Returns:
             Whether the digest was new.
@@ -207,7 +207,7 @@
         account.refilled_at = now
 
     def wait(self, customer: CustomerName, *, long: bool, now: float) -> float:
-        """Return the seconds until the customer's limit permits a call; zero if it does now.
+        """Return the seconds until the customer's limit permits a call; zero if it already does.
 
         Args:
             customer: The customer.
@@ -222,9 +222,9 @@
         if account.level <= 0.0:
             return (1.0 - account.level) / rate
         # Pending work stays below this if it arrives at the rate of the limit.
-        most = rate * SPREAD_SECONDS
-        if long and account.pending > most:
-            return SPREAD_SECONDS * log(account.pending / most) + 1.0
+        max_pending = rate * SPREAD_SECONDS
+        if long and account.pending > max_pending:
+            return SPREAD_SECONDS * log(account.pending / max_pending) + 1.0
         return 0.0
 
     def charge(self, customer: CustomerName, seconds: float, *, now: float) -> None:
--- a/src/azureswitch/serving/_fleet.py
+++ b/src/azureswitch/serving/_fleet.py
@@ -23,10 +23,10 @@
 """Seconds for which a target is avoided after its first failure."""
 
 MAX_EJECTION_SECONDS = 30.0
-"""Seconds for which a target is avoided after many failures."""
+"""Maximum seconds for which a target is avoided after failures in a row."""
 
 MAX_UNSHARED_EJECTION_SECONDS = 4.0
-"""The same for unshared calls; a new connection per attempt makes a wrong guess cheap."""
+"""The same for unshared calls; each attempt has its own connection, so a wrong guess is cheap."""
 
 RESERVATION_SECONDS = 1.0
 """Seconds after which a reservation of a target's memory expires unless renewed."""
@@ -72,7 +72,7 @@
         self._peer_targets: dict[HostName, set[TargetName]] = {}
 
     def adopt(self, inventory: Inventory, *, restarted: Collection[TargetName] = ()) -> None:
-        """Adopt the targets of a configuration and keep the known load of those that remain.
+        """Adopt the targets of a configuration and keep the load of those whose address remains.
 
         Args:
             inventory: The configuration.
@@ -156,7 +156,7 @@
             self._loaded.add(name)
 
     def prefilled(self, targets: Iterable[TargetName], *, work: Work) -> None:
-        """Remove the prefill of an attempt that got its first token or ended before it."""
+        """Remove the prefill of an attempt that delivered its first token or ended before."""
         for name in targets:
             state = self._states.get(name)
             if state is not None:
--- a/src/azureswitch/serving/_gossip.py
+++ b/src/azureswitch/serving/_gossip.py
@@ -37,7 +37,7 @@
     places = (state.fleet.place(item.target) for item in digest.occupancies)
     audience = state.domains.audience(filter(None, places), regular=regular)
     if everywhere and audience is not None and state.snapshot is not None:
-        # Any host may get a request that crashes targets next, and must know of it.
+        # Any host may receive a request that crashes targets next, so the report goes to all.
         audience = frozenset(place.name for place in state.snapshot.inventory.places)
     return PublishDigest(
         digest=replace(digest, starts=starts),
--- a/src/azureswitch/serving/_ledger.py
+++ b/src/azureswitch/serving/_ledger.py
@@ -18,7 +18,7 @@
 TOTALS_SECONDS = 10.0
 """Seconds after which the totals of another failure domain expire.
 
-A host receives those of each of four others at random intervals, every 3.2 s on average.
+A host receives the totals of each of four other domains at random, every 3.2 s on average.
 """
 
 
@@ -188,7 +188,7 @@
     def restart(self, targets: Collection[TargetName]) -> None:
         """Remove the load of all hosts at targets that have restarted.
 
-        Peers' entries without a start are removed as well, as they were reported before.
+        Peers' entries without a start are removed as well, as they date from before the restart.
         """
         for key, entry in self._entries.items():
             self._entries[key] = _without(entry, targets)
--- a/src/azureswitch/serving/_length.py
+++ b/src/azureswitch/serving/_length.py
@@ -14,7 +14,7 @@
 from azureswitch.serving._events import Call
 
 MIDDLE_FACTOR = 4
-"""Multiple of the rule's long prompt at which the middle level ends and the long level begins."""
+"""Multiple of `Rules.long_prompt` at which the middle level ends and the long level begins."""
 
 PRIORITY_BASE_TOKENS = 1_024
 """Prompt tokens up to which all prompts have the same priority."""
@@ -38,7 +38,7 @@
 """Seconds after which a peer's reported demand expires."""
 
 MAX_SHORT_UTILIZATION = 0.4
-"""Prefill seconds per second of short prompts on each of their engines if engines are scarce."""
+"""Load of each engine for short prompts if engines are scarce, in prefill seconds per second."""
 
 MAX_SHORT_SHARE = 0.6
 """Maximum share of the engines that is reserved for short prompts if capacity is insufficient."""
@@ -106,7 +106,7 @@
     """How an objective balances short prompts against long ones.
 
     Attributes:
-        short_utilization: Target load of each engine for short prompts, in prefill seconds per
+        short_utilization: Intended load of each engine for short prompts, in prefill seconds per
             second.
         long_utilization: The same for long prompts, in addition to their own decoding.
         idle_threshold: Engine seconds of a short prompt above which it may use an idle engine for
