--- a/src/azureswitch/serving/_cost.py
+++ b/src/azureswitch/serving/_cost.py
@@ -149,9 +149,9 @@
             pace: The performance model of the engines.
             engines: Maximum number of engines that share the prefill.
         """
-        reading = read_seconds(pace, call.prompt_tokens) / max(1, engines)
+        prefill = read_seconds(pace, call.prompt_tokens) / max(1, engines)
         return Cost(
-            prefill=reading,
+            prefill=prefill,
             decode=call.output_tokens * pace.stream_step,
             longest=call.output_tokens * pace.step,
         )
--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -58,10 +58,10 @@
 """Seconds between the first retries of two hosts; a crashing target stops responding sooner."""
 
 MAX_TURNS = 6
-"""Hosts that retry `TURN_SECONDS` apart; with more, callers of the last would wait too long."""
+"""Maximum turns of `TURN_SECONDS` that a host awaits; with more, its callers wait too long."""
 
 LATER_TURN_SECONDS = 0.02
-"""Seconds between the retries of the hosts after the first `MAX_TURNS`."""
+"""Seconds added per host in turn; hosts that have reached `MAX_TURNS` are only this far apart."""
 
 TRIAL_SECONDS = 5.0
 """Seconds for which a host awaits the outcome of the single retry after a quarantine."""
@@ -230,7 +230,7 @@
         return len(self._quarantined())
 
     def pop_changes(self, *, now: float) -> list[QuarantineChange]:
-        """Return the quarantines that began, were extended or ended since the last check."""
+        """Return the quarantines that began, were extended or ended since this last ran."""
         found = []
         for key in self._changed_keys:
             suspect = self._suspects.get(key)
--- a/src/azureswitch/serving/_departures.py
+++ b/src/azureswitch/serving/_departures.py
@@ -40,7 +40,7 @@
         )
 
     def _drains(self, target: Target) -> bool:
-        """Return whether an entry is of the start that drains, or of an earlier or unknown one."""
+        """Return whether an entry's start is not known to be later than the one that drains."""
         started = self._started.get(target.name)
         if started is None:
             return False
--- a/src/azureswitch/serving/_digests.py
+++ b/src/azureswitch/serving/_digests.py
@@ -162,7 +162,10 @@
 
     @property
     def targets(self) -> tuple[TargetName, ...]:
-        """The targets of these fields without duplicates, in an order that receivers reproduce."""
+        """The targets of loads, suspects, saved and occupancies, once each, in a fixed order.
+
+        Receivers reproduce this order.
+        """
         names = [load.target for load in self.loads]
         names += self.suspects
         names += self.saved
--- a/src/azureswitch/serving/_effects.py
+++ b/src/azureswitch/serving/_effects.py
@@ -101,7 +101,8 @@
 
     Attributes:
         digest: The digest.
-        regular: Whether it is the periodic digest, which repeats what peers may have missed.
+        regular: Whether it is a periodic digest without new crash or limit reports, which repeats
+            what peers may have missed.
         places: The failure domains whose hosts receive it, or None for all.
         may_wait: Whether it may be delayed for a moment, as it reports nothing but attempts that
             have ended or whose prefill is done.
--- a/src/azureswitch/serving/_events.py
+++ b/src/azureswitch/serving/_events.py
@@ -171,7 +171,7 @@
 
 
 class LoadReported(ServingEvent, frozen=True, kw_only=True):
-    """A load report arrived, from a poll of this host or forwarded by a peer."""
+    """A load report, ``age`` seconds old, arrived from a poll or was forwarded by a peer."""
 
     report: LoadReport
     age: float = 0.0
--- a/src/azureswitch/serving/_failover.py
+++ b/src/azureswitch/serving/_failover.py
@@ -152,7 +152,7 @@
 
 
 def _has_other(state: ServingState, record: CallRecord, target: TargetName, *, now: float) -> bool:
-    """Return whether a call has another healthy target; evaluated on each failed poll."""
+    """Return whether a call has another healthy target; checked again on each failed poll."""
     return any(
         other.preferred(now) and other.target.name != target
         for other in state.fleet.states(record.pool)
@@ -160,9 +160,10 @@
 
 
 def _finds_target(state: ServingState, record: CallRecord, attempt: Attempt, *, now: float) -> bool:
-    """Return whether a call would be sent at once, and to another target than its first one.
+    """Return whether a call would be sent at once, and not to the target answering it now.
 
-    If one of its targets has restarted, that explains the silence, and all targets are eligible.
+    If one of the attempt's targets has restarted, that explains the silence, and all targets
+    are eligible.
     """
     if any(True for _ in state.queue.customers(lane_of(record))):
         return False
