--- a/src/azureswitch/serving/_limit_events.py
+++ b/src/azureswitch/serving/_limit_events.py
@@ -42,7 +42,7 @@
 
 
 def request_permits(state: ServingState, *, now: float) -> list[Effect]:
-    """Return the effects that ask owners for the permits that were missing."""
+    """Return the effects that ask the owners of targets for the permits requested here."""
     effects: list[Effect] = []
     for target in state.permits.pop_asks():
         report = state.limits.report(target, now=now)
@@ -62,7 +62,7 @@
 
 
 def take_permit(state: ServingState, event: PermitAnswered) -> list[Effect]:
-    """Apply a permit, send calls that waited, and refuse those that will get none in time."""
+    """Apply an owner's answer, send queued calls, and end those that get no permit in time."""
     now = event.now
     effects: list[Effect] = []
     if event.report is not None:
@@ -78,7 +78,7 @@
 
 
 def _permit_too_late(state: ServingState, record: CallRecord, *, now: float) -> bool:
-    """Return whether a call waits for a permit that will not come in time."""
+    """Return whether a queued call, all of whose targets are limited, gets no permit in time."""
     if not all_limited(state, record.pool, now=now):
         return False
     wait = seconds_until_permitted(state, record.pool, now=now)
--- a/src/azureswitch/serving/_limits.py
+++ b/src/azureswitch/serving/_limits.py
@@ -13,7 +13,7 @@
 from azureswitch.serving._starts import Starts
 
 MIN_RATE = 0.1
-"""Lowest rate kept to, in requests per second, so that answers show when the limit rises."""
+"""Lowest rate applied, in requests per second, so that answers show when the limit rises."""
 
 UNREADABLE_RATE = 0.5
 """Requests per second to a target whose limit cannot be parsed: it is overloaded to an unknown
@@ -21,7 +21,7 @@
 """
 
 MAX_RATE = 10_000.0
-"""Highest rate kept to, in requests per second; a higher limit has no effect on a host."""
+"""Highest rate applied, in requests per second; a higher limit has no effect on a host."""
 
 RAMP_SECONDS = 3.0
 """Seconds of the ramp-up of a target whose limit has ended."""
@@ -36,7 +36,7 @@
 """Assumed transit time in seconds of a message between hosts, added to the age of a report."""
 
 MAX_REPEATED_LIMITS = 8
-"""Upper bound of limits in a regular digest, which take turns."""
+"""Upper bound of unchanged limits that a regular digest repeats, in rotation."""
 
 MAX_REMEMBERED_TARGETS = 1_024
 """Upper bound of targets with a remembered limit; the least recently updated is evicted first."""
@@ -49,7 +49,7 @@
         target: The target.
         rate: Requests per second, or None where the limit has ended.
         before: The rate known before, or None.
-        age: Seconds since a host observed it.
+        age: Seconds since a host observed the change.
     """
 
     target: TargetName
@@ -166,7 +166,7 @@
         return target in self._observations
 
     def since(self, target: TargetName) -> float:
-        """Return since when a known target has had a limit, or has had none."""
+        """Return the time since which a known target has had a limit, or has had none."""
         return self._observations[target].since
 
     def seconds_unobserved(self, target: TargetName, *, now: float) -> float:
@@ -184,15 +184,15 @@
 
     def rates(self, *, now: float) -> dict[TargetName, float]:
         """Return the rates of the targets with a limit in force."""
-        named = ((name, known.rate) for name, known in self._observations.items())
+        observed = ((name, known.rate) for name, known in self._observations.items())
         return {
             name: rate
-            for name, rate in named
+            for name, rate in observed
             if rate is not None and self.rate(name, now=now) is not None
         }
 
     def collect_reports(self, *, now: float, regular: bool) -> tuple[LimitReport, ...]:
-        """Return the reports of a digest: all changes, and in a regular one others by turns."""
+        """Return the reports of a digest: all changes, and in a regular one others in rotation."""
         names = dict(self._unreported)
         self._unreported.clear()
         if regular:
@@ -222,11 +222,14 @@
         now: float,
         own: bool,
     ) -> LimitChange | None:
-        """Record an observation of a target, unless a later one of the same start is known."""
+        """Record an observation, unless a later one of its start, or another start, is known.
+
+        Only a host's own observations (``own``) add to the changes that it gossips.
+        """
         known = self._known(target, started=started)
         if not self._starts.holds(target, started) or (known is not None and at <= known.at):
             return None
-        self._keep(target, _next_observation(known, started=started, rate=rate, at=at))
+        self._store(target, _next_observation(known, started=started, rate=rate, at=at))
         before = None if known is None else known.rate
         if rate == before:
             return None
@@ -241,7 +244,7 @@
             return None
         return known
 
-    def _keep(self, target: TargetName, observation: _Observation) -> None:
+    def _store(self, target: TargetName, observation: _Observation) -> None:
         self._observations.pop(target, None)
         self._observations[target] = observation
         if len(self._observations) > MAX_REMEMBERED_TARGETS:
--- a/src/azureswitch/serving/_penalties.py
+++ b/src/azureswitch/serving/_penalties.py
@@ -34,13 +34,13 @@
 """Minimum seconds without a first token after which callers disconnect."""
 
 PATIENCE_FACTOR = 4.0
-"""Multiple of its first-token objective after which a caller disconnects."""
+"""Multiple of its first-token objective after which a caller disconnects, above that minimum."""
 
 SAFE_PATIENCE_SHARE = 0.5
 """Share of the time until the caller disconnects up to which a first token carries no risk."""
 
 LATENCY_WEIGHT = 0.1
-"""Weight of latency within the objective, relative to being on time."""
+"""Weight of latency, measured as a share of the objective, relative to being on time."""
 
 SHORT_STREAM_TOKENS = 10_000
 """Prompt tokens of a long prompt that weigh as much as one short stream."""
@@ -53,7 +53,7 @@
 
 
 class PauseLimits(Struct, frozen=True, kw_only=True):
-    """Longest pauses of streams that are on time, in seconds; infinite if not known.
+    """Longest pauses, in seconds, with which streams are on time; infinite if not known.
 
     Attributes:
         short: Streams of short prompts.
@@ -67,16 +67,17 @@
 class PauseTracker:
     """Tracks the tightest pause objectives that recent calls of each service have declared.
 
-    Routes declare them.  Nothing else tells how much prefill the streams of a peer tolerate.
+    Routes declare the objectives.  A host has no other information on how much prefill the streams
+    of its peers tolerate.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[tuple[ServiceName, bool], dict[float, float]] = {}
+        self._declared_at: dict[tuple[ServiceName, bool], dict[float, float]] = {}
 
     def observe(self, call: Call, *, short: bool, now: float) -> None:
         """Record the pause objective of a call."""
         if call.gap_objective:
-            self._seen.setdefault((call.service, short), {})[call.gap_objective] = now
+            self._declared_at.setdefault((call.service, short), {})[call.gap_objective] = now
 
     def limits(self, service: ServiceName, *, now: float) -> PauseLimits:
         """Return the tightest pause objectives of a service, for short and long prompts."""
@@ -86,13 +87,15 @@
         )
 
     def tightest(self, service: ServiceName, *, now: float) -> float:
-        """Return the tightest pause objective of a service, in seconds."""
+        """Return the tightest pause objective of a service, in seconds; infinite if not known."""
         limits = self.limits(service, now=now)
         return min(limits.short, limits.long)
 
     def _tightest(self, service: ServiceName, *, short: bool, now: float) -> float:
-        seen = self._seen.get((service, short), {})
-        return min((gap for gap, at in seen.items() if now - at <= PAUSE_TTL_SECONDS), default=inf)
+        declared_at = self._declared_at.get((service, short), {})
+        return min(
+            (gap for gap, at in declared_at.items() if now - at <= PAUSE_TTL_SECONDS), default=inf
+        )
 
 
 def lateness_cost(call: Call, first: float, *, now: float) -> float:
@@ -103,7 +106,10 @@
 
 
 def latency_cost(call: Call, first: float) -> float:
-    """Return the cost of the latency itself, also within the objective."""
+    """Return the cost of the latency itself, also within the objective.
+
+    Without an objective the latency is measured in seconds instead of objectives.
+    """
     return LATENCY_WEIGHT * first / call.objective if call.objective else LATENCY_WEIGHT * first
 
 
--- a/src/azureswitch/serving/_permits.py
+++ b/src/azureswitch/serving/_permits.py
@@ -27,7 +27,7 @@
 """Maximum validity of a permit in seconds, for targets with a low rate."""
 
 FIRST_REQUESTS = 5.0
-"""Requests assumed to have been sent just before a limit became known, and counted to it."""
+"""Requests assumed to have been sent just before a limit became known, and counted against it."""
 
 MAX_FIRST_PAUSE_SECONDS = 3.0
 """Longest time in seconds without requests after a target first announces a limit."""
@@ -165,13 +165,17 @@
         return bool(held) and held[0].begin <= now
 
     def take(self, target: TargetName, *, now: float) -> None:
-        """Use up a permit for a request that is sent to a target."""
+        """Use up a permit, if one is needed, for a request that is sent to a target."""
         held = self._current(target, now=now)
         if held and held[0].begin <= now:
             held.popleft()
 
     def request(self, target: TargetName, *, now: float) -> None:
-        """Request a permit: at once if this host is the owner, and else by asking the owner."""
+        """Request a permit from the owner, or issue it at once if this host is the owner.
+
+        Nothing is requested while this host holds a permit, pauses after a refusal, or has asked
+        within the last `ASK_TIMEOUT_SECONDS`.
+        """
         if self._current(target, now=now) or now < self._paused.get(target, 0.0):
             return
         if self.owner_of(target) == self._host:
@@ -189,7 +193,7 @@
         """Decide as the owner whether a host may send to a target."""
         rate = self._limits.rate(target, now=now)
         if rate is None:
-            # The answer also tells the asking host that the limit has ended.
+            # The answer also carries the report that the limit has ended.
             return Grant(valid=MIN_VALID_SECONDS)
         if self.owner_of(target) != self._host:
             # The hosts disagree about who is live; the asking host will soon ask the owner.
@@ -211,7 +215,10 @@
         self._held.setdefault(target, deque()).append(permit)
 
     def wait(self, target: TargetName, *, now: float) -> float:
-        """Return the earliest time, in seconds from now, of a request to a target."""
+        """Return the earliest time, in seconds from now, of a request to a target.
+
+        Without a permit it is the end of a pause after a refusal, when this host may ask again.
+        """
         held = self._current(target, now=now)
         if held:
             return max(0.0, held[0].begin - now)
--- a/src/azureswitch/serving/_placement.py
+++ b/src/azureswitch/serving/_placement.py
@@ -36,7 +36,7 @@
 """
 
 DEFAULT_PAUSE_SECONDS = 0.25
-"""Pause objective that is assumed if no route declares one."""
+"""Pause objective in seconds that is assumed if no route declares one."""
 
 FIRST_STREAM_COST = 0.06
 """Cost of the first short stream on an engine; keeps some engines free for long prompts."""
@@ -67,7 +67,10 @@
 """Cost of a target in another failure domain of the region; ten times that outside the region."""
 
 PROBE_CREDIT = 0.1
-"""Credit for probing an engine whose limit may have ended; more than `FIRST_STREAM_COST`."""
+"""Cost deducted for an engine to probe, whose limit may have ended.
+
+It exceeds `FIRST_STREAM_COST`, so that it outweighs the cost of the first stream on an engine.
+"""
 
 
 def place_call(
@@ -164,15 +167,15 @@
     now: float,
 ) -> ScoredChoice:
     call = record.call
-    own = read_seconds(pace, call.prompt_tokens)
+    prefill = read_seconds(pace, call.prompt_tokens)
     pauses = state.pauses.limits(call.service, now=now)
     packing = _packing_share(engines)
     best: tuple[float, float, TargetName] | None = None
     for engine in engines:
         occupancy = engine.occupancy
-        first = wait_seconds(occupancy, pace) + own
+        first = wait_seconds(occupancy, pace) + prefill
         cost = lateness_cost(call, first, now=now) + latency_cost(call, first)
-        cost += pause_cost(occupancy, pace, reading=own, pauses=pauses)
+        cost += pause_cost(occupancy, pace, reading=prefill, pauses=pauses)
         cost += packing * _packing_cost(occupancy, pace) + (1.0 - packing) * _spread_cost(occupancy)
         cost += _distance_cost(engine.target) - PROBE_CREDIT * engine.probe
         key = (cost, state.random.random(), engine.name)
@@ -182,13 +185,13 @@
     assert best is not None  # There is at least one engine.
     cost, _, name = best
     tokens = needed_tokens(call)
-    occupancy = Occupancy(target=name, short_reading=own, streams=1, tokens=tokens)
+    added = Occupancy(target=name, short_reading=prefill, streams=1, tokens=tokens)
     choice = Choice(
         targets=(name,),
-        work=Work(seconds=own, tokens=tokens, level=Level.SHORT),
+        work=Work(seconds=prefill, tokens=tokens, level=Level.SHORT),
         cached_tokens=0,
-        wait=max(0.0, predicted - own),
-        occupancies=(occupancy,),
+        wait=max(0.0, predicted - prefill),
+        occupancies=(added,),
         first_token=predicted,
     )
     return ScoredChoice(cost=cost, choice=choice)
@@ -207,7 +210,7 @@
 
 
 def _packing_cost(occupancy: Occupancy, pace: EnginePace) -> float:
-    """Return the cost of the distance between an engine's streams and the packing target."""
+    """Return a cost for each stream above or below the number to pack onto an engine."""
     wanted = max(1, pace.slots - SPARE_SLOTS)
     return STREAM_COST * abs(wanted - occupancy.streams - occupancy.long_streams)
 
--- a/src/azureswitch/serving/_queue.py
+++ b/src/azureswitch/serving/_queue.py
@@ -79,8 +79,8 @@
         """Add a call.
 
         Args:
-            lane: Where it waits.
-            customer: Whose call it is.
+            lane: The lane that it waits in.
+            customer: The customer that sent it.
             call: The call.
             seconds: Its engine seconds.
             first: Whether it goes ahead of the customer's other calls, as it was sent before.
--- a/src/azureswitch/serving/_reduce.py
+++ b/src/azureswitch/serving/_reduce.py
@@ -456,7 +456,7 @@
 
 
 def _expire_long_lived(state: ServingState, *, now: float) -> list[Effect]:
-    """Expire long-lived entries: requests that crashed targets, and limits that have ended."""
+    """Expire long-lived entries: requests that crashed targets, ended limits, and their permits."""
     state.crashes.expire(now)
     state.limits.expire(now)
     state.permits.expire(state.limits.targets)
--- a/src/azureswitch/serving/_retries.py
+++ b/src/azureswitch/serving/_retries.py
@@ -38,7 +38,7 @@
 """Upper bound of any backoff."""
 
 MIN_BURST = 1.0
-"""Retries that any host can accumulate; a host whose burst is below one could else never retry."""
+"""Retries that any host can accumulate; with a burst below one it could otherwise never retry."""
 
 
 class RetryBudget:
@@ -140,13 +140,13 @@
 
 
 MIN_QUEUE_SECONDS = 0.5
-"""Lower bound of the time that a call which its caller can send to another host may be queued.
+"""Lower bound, in seconds, of the queue time of a call that its caller can send to another host.
 
 It leaves time for a failed target to be replaced.
 """
 
 QUEUE_OBJECTIVE_SHARE = 0.25
-"""That time as a share of the call's objective for its first output.
+"""The same queue time as a share of the call's objective for its first output.
 
 Waiting here for longer would count against the objective.
 """
--- a/src/azureswitch/serving/_routing.py
+++ b/src/azureswitch/serving/_routing.py
@@ -181,8 +181,8 @@
     cached: dict[TargetName, int] | None = None,
 ) -> list[TargetState]:
     """Return candidate targets: a random sample and those with the longest cached prefix."""
-    choices = SAMPLE_SIZES[record.level]
-    drawn = names if len(names) <= choices else tuple(state.random.sample(names, choices))
+    sample_size = SAMPLE_SIZES[record.level]
+    drawn = names if len(names) <= sample_size else tuple(state.random.sample(names, sample_size))
     holders = {name: cached[name] for name in names if name in cached} if cached else {}
     extra = sorted(holders, key=lambda name: (-holders[name], name))[:MAX_CACHED_CANDIDATES]
     candidates = _usable(state, record, (*drawn, *extra), now=now)
--- a/src/azureswitch/serving/_spreading.py
+++ b/src/azureswitch/serving/_spreading.py
@@ -60,7 +60,7 @@
 """Maximum engines that hold one prompt together; a million tokens take three."""
 
 MAX_RESERVED_FILL = 0.85
-"""Maximum share of an engine's free memory to reserve, as other hosts may send meanwhile."""
+"""Maximum share of an engine's free memory to reserve, as other hosts may use it meanwhile."""
 
 
 class _Spread(Struct, frozen=True, kw_only=True):
@@ -89,6 +89,11 @@
     pace: EnginePace,
     now: float,
 ) -> ScoredChoice | None:
+    """Choose the number of engines for a long prompt, and the engines, by the lowest cost.
+
+    Returns:
+        The choice, or None if not even `MAX_HOLDERS` engines can hold the prompt.
+    """
     call = record.call
     work = read_seconds(pace, call.prompt_tokens)
     pauses = state.pauses.limits(call.service, now=now)
--- a/src/azureswitch/serving/_starts.py
+++ b/src/azureswitch/serving/_starts.py
@@ -33,7 +33,7 @@
 class Starts:
     """The latest known start of each target, in milliseconds of its wall clock.
 
-    It never decreases: an earlier start that is reported late is over.
+    The known start never decreases: an earlier one that is reported late is ignored.
     """
 
     def __init__(self) -> None:
@@ -49,14 +49,14 @@
         Returns:
             The entries in force, and the targets whose known start has changed.
         """
-        held: dict[TargetName, Target] = {}
+        entries: dict[TargetName, Target] = {}
         restarted: set[TargetName] = set()
         learned: set[TargetName] = set()
         for entry in targets:
             name = entry.name
             known = self._known.get(name, 0)
             if entry.started == known:
-                held[name] = entry
+                entries[name] = entry
                 continue
             target = latest(self._listed.get(name), entry)
             if target.started > known:
@@ -65,11 +65,13 @@
             elif target.started < known:
                 # The target was listed before, was removed, and reappeared with an outdated entry.
                 target = replace(target, started=known)
-            held[name] = target
-        self._listed = held
-        self._forget_gone()
+            entries[name] = target
+        self._listed = entries
+        self._evict_unlisted()
         return StartsAdopted(
-            targets=tuple(held.values()), restarted=frozenset(restarted), learned=frozenset(learned)
+            targets=tuple(entries.values()),
+            restarted=frozenset(restarted),
+            learned=frozenset(learned),
         )
 
     def of(self, target: TargetName) -> int:
@@ -98,15 +100,18 @@
         return not started or not known or started == known
 
     def ended(self, starts: Iterable[TargetStart]) -> frozenset[TargetName]:
-        """Return the targets whose given start differs from the latest known one."""
+        """Return the targets whose given start differs from the latest known one.
+
+        A target with an unknown start on either side is not among them.
+        """
         return frozenset([s.target for s in starts if not self.holds(s.target, s.started)])
 
-    def _forget_gone(self) -> None:
-        """Evict the oldest starts of targets that are no longer listed, beyond a bound."""
+    def _evict_unlisted(self) -> None:
+        """Evict the first learned starts of targets that are no longer listed, beyond a bound."""
         if len(self._known) - len(self._listed) <= MAX_UNLISTED_STARTS:
             return
-        gone = [name for name in self._known if name not in self._listed]
-        for name in gone[:-MAX_UNLISTED_STARTS]:
+        unlisted = [name for name in self._known if name not in self._listed]
+        for name in unlisted[:-MAX_UNLISTED_STARTS]:
             del self._known[name]
 
 
--- a/src/azureswitch/serving/_state.py
+++ b/src/azureswitch/serving/_state.py
@@ -36,7 +36,7 @@
 
 
 DEADLINE_MARGIN = 0.05
-"""Default seconds before its deadline at which a call is ended; one tick of the clock."""
+"""Default seconds before its deadline at which a call is ended; the interval of `Ticked` events."""
 
 
 class Phase(Enum):
@@ -96,8 +96,8 @@
     def lost(self) -> bool:
         """Whether one of its targets has restarted before the first token.
 
-        After the first token the connection is decisive instead: news of a restart may be late, and
-        the attempt may be running on the restarted target.
+        After the first token the connection decides instead: a restart may be reported late,
+        and the attempt may be running on the restarted target.
         """
         return self.first_token is None and bool(self.restarted)
 
@@ -315,7 +315,7 @@
 
     @property
     def pauses(self) -> PauseTracker:
-        """The longest permitted pause of streams, by service."""
+        """The tightest pause objectives of streams, by service."""
         return self._pauses
 
     @property
@@ -371,7 +371,7 @@
         return adopted.restarted
 
     def note_leaving(self, target: TargetName, *, started: int) -> None:
-        """Send no new work to a target that has announced that it drains."""
+        """Record that a target drains, so that no new work is sent to it."""
         self._departures.add(target, started=started)
         known = self._fleet.state(target)
         if known is not None:
--- a/src/azureswitch/serving/_target.py
+++ b/src/azureswitch/serving/_target.py
@@ -34,7 +34,7 @@
 
 
 class PeerLoad(Struct, frozen=True, kw_only=True):
-    """What one peer has outstanding at one target.
+    """The unfinished load of one peer at one target.
 
     Attributes:
         load: The load in its last digest.
@@ -64,7 +64,7 @@
 
 
 class TargetState(Struct, kw_only=True):
-    """One target as this host sees it.
+    """The state of one target as known to this host.
 
     Attributes:
         target: Its entry in the inventory.
@@ -76,15 +76,16 @@
         sent: Attempts that this host sent recently, oldest first.
         report: The last load report.
         report_at: The time whose state the report describes.
-        peers: The outstanding load of each peer here.
-        unusable_until: Until when it gets no new work, as it was unreachable or full.
-        ejected_until: Until when other targets are preferred, as attempts of this host failed.
-        suspected_until: Until when other targets are preferred, as a peer reports it as suspect.
-        saved_until: Until when a peer reserves its memory for a long prompt.
-        silent_since: Since when it has not answered polls, or None.
-        stuck_since: Since when requests have waited there while none runs, or None.
+        peers: The unfinished load of each peer at this target.
+        unusable_until: The time until which it gets no new work, as it was unreachable or full.
+        ejected_until: The time until which others are preferred, as attempts of this host failed.
+        suspected_until: The time until which others are preferred, as a peer reports it as suspect.
+        saved_until: The time until which a peer reserves its memory for a long prompt.
+        silent_since: The time since which it has not answered polls, or None.
+        stuck_since: The time since which requests have waited there while none runs, or None.
         failures: Consecutive failures.
-        ended_start: The start in the load reports of the target before it restarted, or zero.
+        ended_start: The start in the load reports from before a restart, or zero; further reports
+            of this start or an earlier one are ignored.
     """
 
     target: Target
@@ -106,17 +107,17 @@
     ended_start: int = 0
 
     def usable(self, now: float) -> bool:
-        """Whether the target may get new work."""
+        """Return whether the target may get new work."""
         if self.target.role is not TargetRole.SERVING or now < self.unusable_until:
             return False
         return self.report is None or not self.report.draining
 
     def preferred(self, now: float) -> bool:
-        """Whether the target may get new work and has not failed recently."""
+        """Return whether the target may get new work and is neither ejected nor suspected."""
         return self.usable(now) and now >= max(self.ejected_until, self.suspected_until)
 
     def has_report(self, now: float) -> bool:
-        """Whether there is a load report that has not expired."""
+        """Return whether there is a load report that has not expired."""
         return self.report is not None and now - self.report_at <= REPORT_MAX_AGE
 
     def waits(self, *, now: float, level: Level) -> float:
--- a/src/azureswitch/serving/_termination.py
+++ b/src/azureswitch/serving/_termination.py
@@ -1,4 +1,4 @@
-"""Ends calls that are not sent again, with an error that tells whether they may have run."""
+"""Ends calls that are not sent again, with an error that states whether they may have run."""
 
 from azureswitch.core import Effect
 from azureswitch.exceptions import (
--- a/src/azureswitch/serving/_throttling.py
+++ b/src/azureswitch/serving/_throttling.py
@@ -38,7 +38,7 @@
     count = 1 if allowed else MAX_ASKED_TARGETS
     for target in state.random.sample(asked, min(count, len(asked))):
         state.permits.request(target.target.name, now=now)
-    # A permit that this host issues itself is available at once.
+    # A permit that this host issues itself may be valid at once.
     return allowed + [target for target in blocked if _may_send(state, target, now=now)]
 
 
@@ -73,26 +73,26 @@
     """
     if not all_limited(state, pool, now=now):
         return None
-    rate = _whole_rate(state, pool, now=now)
-    hold = max_queue_seconds(call)
+    rate = _total_rate(state, pool, now=now)
+    max_wait = max_queue_seconds(call)
     wait = seconds_until_permitted(state, pool, now=now)
     lane = lane_for(call, level_of(call, state.rules))
-    places = 1 + int(rate * hold / state.fairness.hosts)
-    if wait <= hold and state.queue.count(lane, call.customer) < places:
+    places = 1 + int(rate * max_wait / state.fairness.hosts)
+    if wait <= max_wait and state.queue.count(lane, call.customer) < places:
         return None
     return limit_reached(state, pool, now=now)
 
 
 def limit_reached(state: ServingState, pool: Pool, *, now: float) -> LimitReachedError:
     """Return the error to refuse a call with, whose retry time has jitter."""
-    rate = _whole_rate(state, pool, now=now)
+    rate = _total_rate(state, pool, now=now)
     wait = max(seconds_until_permitted(state, pool, now=now), 1.0 / rate)
     return LimitReachedError(seconds=wait * state.random.uniform(1.0, MAX_RETRY_JITTER))
 
 
 def all_limited(state: ServingState, pool: Pool, *, now: float) -> bool:
     """Return whether all usable targets of a pool have limits."""
-    return state.limits.any and _whole_rate(state, pool, now=now) < inf
+    return state.limits.any and _total_rate(state, pool, now=now) < inf
 
 
 def seconds_until_permitted(state: ServingState, pool: Pool, *, now: float) -> float:
@@ -114,7 +114,7 @@
     return Lane(service=call.service, model=call.model, level=level)
 
 
-def _whole_rate(state: ServingState, pool: Pool, *, now: float) -> float:
+def _total_rate(state: ServingState, pool: Pool, *, now: float) -> float:
     """Return the total rate of the usable targets of a pool, or infinity if one is unlimited."""
     usable = [target for target in state.fleet.states(pool) if target.usable(now)]
     rates = [state.limits.rate(target.target.name, now=now) for target in usable]
