--- a/src/azureswitch/serving/_crashes.py
+++ b/src/azureswitch/serving/_crashes.py
@@ -7,9 +7,9 @@
 Requests that run on the same target are interrupted too.  A crash therefore counts only against the
 request that was interrupted at the most targets, and a request that is answered is cleared of all
 of its crashes.  A request that many callers send may have run at each of many targets that were
-lost together.  Crashes close in time therefore count as one occasion, however many they are; a
+lost together.  Crashes close in time therefore count as one incident, however many they are; a
 request that crashes targets is recognized by further crashes that follow wherever it is sent.  It
-is quarantined for some seconds after the first occasion and for longer after each further one.
+is quarantined for some seconds after the first incident and for longer after each further one.
 When a quarantine ends, hosts retry the request one after the other.
 
 All decisions are functions of the reports known, regardless of their sender and order, so that
@@ -38,8 +38,8 @@
 One or two may fail for another reason, first where it runs and then where it is retried.
 """
 
-OCCASION_SECONDS = 2.0
-"""Seconds within which crashes count as one occasion.
+INCIDENT_SECONDS = 2.0
+"""Seconds within which crashes count as one incident.
 
 The targets of a lost failure domain stop responding within one second of each other.
 """
@@ -48,7 +48,7 @@
 """Longest quarantine in seconds; within a day the request or the targets can be fixed."""
 
 QUARANTINE_STEPS_SECONDS = (4.0, 10.0, 600.0, QUARANTINE_SECONDS)
-"""Seconds of quarantine after a request's last crash, by its number of occasions.
+"""Seconds of quarantine after a request's last crash, by its number of incidents.
 
 The first ones are short: requests that ran on targets lost together, also where that happens again
 before one of them is answered, are refused for only some seconds.
@@ -104,7 +104,7 @@
             which it was cleared are left out.
         cleared: The crashes of which it was cleared, oldest first.
         seen_here: Whether this host observed one of its crashes.
-        occasions: Its occasions if it was quarantined at the last `Crashes.pop_changes`, else zero.
+        incidents: Number of its incidents if quarantined at the last `Crashes.pop_changes`, else 0.
         trial_until: Until when the outcome of a retry by this host is awaited.
         answered_here: Whether an answer to an attempt of this host has cleared it.
     """
@@ -113,7 +113,7 @@
     crashes: dict[TargetStart, float] = field(default_factory=dict)
     cleared: dict[TargetStart, None] = field(default_factory=dict)
     seen_here: bool = False
-    occasions: int = 0
+    incidents: int = 0
     trial_until: float = 0.0
     answered_here: bool = False
 
@@ -236,9 +236,9 @@
             suspect = self._suspects.get(key)
             if suspect is None:
                 continue
-            before, suspect.occasions = suspect.occasions, self._occasions(suspect)
-            ended = before > 0 and not suspect.occasions
-            if suspect.occasions <= before and not ended:
+            before, suspect.incidents = suspect.incidents, self._incidents(suspect)
+            ended = before > 0 and not suspect.incidents
+            if suspect.incidents <= before and not ended:
                 continue
             found.append(
                 QuarantineChange(
@@ -333,9 +333,9 @@
             and len(self._attributed(suspect)) >= QUARANTINE_CRASHES
         )
 
-    def _occasions(self, suspect: _Suspect) -> int:
-        """Return the number of occasions of a quarantined request; zero where it is not one."""
-        return len(_first_of_occasions(suspect)) if self._is_quarantined(suspect) else 0
+    def _incidents(self, suspect: _Suspect) -> int:
+        """Return the number of incidents of a request, or zero if it is not quarantined."""
+        return len(_first_of_incidents(suspect)) if self._is_quarantined(suspect) else 0
 
     def _attributed(self, suspect: _Suspect) -> set[TargetStart]:
         """Return the crashes that do not count against a request with more crashes.
@@ -359,7 +359,7 @@
 
     def _report(self, key: RequestKey, suspect: _Suspect, *, now: float) -> CrashReport:
         attributed = self._attributed(suspect)
-        first = _first_of_occasions(suspect)
+        first = _first_of_incidents(suspect)
         crashes = sorted(
             suspect.crashes, key=lambda start: (start not in attributed, start not in first)
         )
@@ -380,16 +380,16 @@
 
 def _quarantine_seconds(suspect: _Suspect) -> float:
     """Return the seconds for which a request is quarantined after its last crash."""
-    occasions = len(_first_of_occasions(suspect))
-    return QUARANTINE_STEPS_SECONDS[min(occasions, len(QUARANTINE_STEPS_SECONDS)) - 1]
+    incidents = len(_first_of_incidents(suspect))
+    return QUARANTINE_STEPS_SECONDS[min(incidents, len(QUARANTINE_STEPS_SECONDS)) - 1]
 
 
-def _first_of_occasions(suspect: _Suspect) -> set[TargetStart]:
-    """Return the first crash of each occasion."""
+def _first_of_incidents(suspect: _Suspect) -> set[TargetStart]:
+    """Return the first crash of each incident."""
     first: set[TargetStart] = set()
     since = -inf
     for start, at in sorted(suspect.crashes.items(), key=lambda item: (item[1], item[0])):
-        if at > since + OCCASION_SECONDS:
+        if at > since + INCIDENT_SECONDS:
             first.add(start)
             since = at
     return first
--- a/tests/serving/test_crashes.py
+++ b/tests/serving/test_crashes.py
@@ -473,15 +473,15 @@
             )
 
     @pytest.mark.parametrize("targets", [1, 3, 9])
-    @pytest.mark.parametrize(("occasions", "seconds"), list(enumerate(QUARANTINE_STEPS_SECONDS, 1)))
-    def test_seconds(self, targets: int, occasions: int, seconds: float) -> None:
-        """The quarantine grows with each occasion, regardless of the crashes in each."""
+    @pytest.mark.parametrize(("incidents", "seconds"), list(enumerate(QUARANTINE_STEPS_SECONDS, 1)))
+    def test_seconds(self, targets: int, incidents: int, seconds: float) -> None:
+        """The quarantine grows with each incident, regardless of the crashes in each."""
         known = Crashes()
-        for occasion in range(occasions):
-            lost = range(100 * occasion, 100 * occasion + targets)
-            known.merge([report("a", lost)], now=20.0 * occasion)
-        now = 20.0 * (occasions - 1)
-        held = occasions * targets >= 3
+        for incident in range(incidents):
+            lost = range(100 * incident, 100 * incident + targets)
+            known.merge([report("a", lost)], now=20.0 * incident)
+        now = 20.0 * (incidents - 1)
+        held = incidents * targets >= 3
         assert known.quarantine_seconds(call("a"), now=now) == (seconds if held else 0.0)
         assert known.quarantine_seconds(call("a"), now=now + seconds - 1.0) == (
             1.0 if held else 0.0
@@ -506,12 +506,12 @@
         assert set(apart[MAX_TURNS:]) == {LATER_TURN_SECONDS}
 
     def test_later_host(self) -> None:
-        """A host that starts later counts the same occasions from the reports that it receives."""
+        """A host that starts later counts the same incidents from the reports that it receives."""
         first, later = Crashes(), Crashes()
-        for occasion in range(3):
+        for incident in range(3):
             for target in range(9):
-                start = TargetStart(target=TargetName(f"e{occasion}-{target}"), started=1)
-                first.record_crash(call("a"), start, now=20.0 * occasion)
+                start = TargetStart(target=TargetName(f"e{incident}-{target}"), started=1)
+                first.record_crash(call("a"), start, now=20.0 * incident)
         told = first.collect_reports(now=45.0, regular=True)
         later.merge(told, now=1_045.0)
         left = first.quarantine_seconds(call("a"), now=45.0)
