--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -102,7 +102,7 @@
 
     @pytest.mark.parametrize("path", ["/read/", "/book/"])
     def test_all_refuse(self, path: str) -> None:
-        """If every target refuses, the caller is told that the request did not run."""
+        """If every target refuses, the caller gets a 503 with a retry time, and nothing runs."""
 
         async def scenario() -> None:
             async with serve(acts=[Act.REFUSE] * 40) as bed:
@@ -156,7 +156,7 @@
 
     @pytest.mark.parametrize("second", [Act.REJECT, Act.FAIL, Act.CLOSE])
     def test_not_resumed(self, second: Act) -> None:
-        """A stream that cannot be resumed is aborted at once and does not look complete."""
+        """A stream that cannot be resumed is aborted at once; its caller sees it is incomplete."""
 
         async def scenario() -> None:
             async with serve(acts=[Act.BREAK, second]) as bed:
@@ -180,7 +180,7 @@
 
     @pytest.mark.parametrize("act", [Act.BREAK, Act.TEAR])
     def test_broken(self, act: Act) -> None:
-        """A broken stream that is not resumable runs once and does not look complete."""
+        """A broken stream that is not resumable runs once, and its caller sees it is incomplete."""
 
         async def scenario() -> None:
             async with serve(acts=[act]) as bed:
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -105,7 +105,7 @@
 
     @pytest.mark.parametrize("case", CASES.values(), ids=CASES.keys())
     def test_decided(self, case: OpenRequest) -> None:
-        """The answer tells correctly whether it ran; it is not retried; its end is logged."""
+        """The answer correctly says if the request ran; it is not retried; its end is logged."""
 
         async def scenario() -> None:
             log = RecordingLog()
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -103,7 +103,7 @@
         ],
     )
     def test_told(self, event: bytes, told: tuple[str, str, int] | None) -> None:
-        """A named event updates or removes an entry, an unnamed one is counted, others apply."""
+        """An event applies to the entry it names, or is counted if it names none; others apply."""
         other = b'{"Object":%s}' % entry(spec(), name=b'"i-3"', version=b"5")
         page = read_changes(b'{"events":[%s,%s],"AsOf":9}' % (event, other), kind=KIND)
         found = [(c.kind.value, c.item.name, c.item.version) for c in page.changes]
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -46,7 +46,7 @@
 
 
 async def crash_until_held(callers: str) -> None:
-    """Send a request that crashes targets, and retry as told, until it is quarantined for long."""
+    """Repeat a crashing request after each retry delay until it is quarantined for long."""
     for number in range(20):
         answer = await ask(callers, LOOKUP, id=f"r{number}", body=b"crashes")
         seconds = answer.head.retry_after or 0.0
--- a/tests/platform/test_signals.py
+++ b/tests/platform/test_signals.py
@@ -55,7 +55,7 @@
 
     @pytest.mark.parametrize(("ticks", "requests", "told"), CASES.values(), ids=CASES.keys())
     def test_told(self, ticks: tuple[float, ...], requests: tuple[float, ...], told: float) -> None:
-        """Ticks and stop requests at these times give the expected start."""
+        """It counts from the request, or if the loop was blocked, from the tick or start before."""
 
         async def scenario() -> None:
             clock = Clock()
--- a/tests/serving/test_attempts.py
+++ b/tests/serving/test_attempts.py
@@ -103,7 +103,7 @@
         assert second.targets != only(StartAttempt, driver.effects)[0].targets
 
     def test_resume_after_a_lost_engine(self) -> None:
-        """The end of a cancelled attempt still tells the next one where to resume."""
+        """The next attempt resumes after the tokens that a cancelled one reports at its end."""
         driver = running(model_call)
         (first,) = only(StartAttempt, driver.effects)
         driver.send(FirstTokenArrived(now=0.0, call=CALL, attempt=1))
--- a/tests/serving/test_limits.py
+++ b/tests/serving/test_limits.py
@@ -195,7 +195,7 @@
 
     @pytest.mark.parametrize(("before", "after"), [(4.0, 1.0), (1.0, 6.0)])
     def test_change_of_a_limit_goes_unheard(self, before: float, after: float) -> None:
-        """The new limit is kept after 3 s, and used."""
+        """From 3 s after it is observed, a changed limit is kept, and used."""
         world = World(hosts=6, targets=1, seed=8)
         name_limit(world, "e0", before)
         name_limit(world, "e0", after, at=8.0)
@@ -297,7 +297,10 @@
         assert sum(bool(grant.valid) for grant in grants) == 1
 
     def test_pause_grows_with_the_hosts_that_ask(self) -> None:
-        """This keeps refused requests for permits in proportion to issued ones."""
+        """The pause between requests for permits grows with the hosts that send them.
+
+        This keeps refused requests in proportion to issued ones.
+        """
         owner = Allocator(random=Random(1))
         pauses = [
             owner.grant(E0, rate=1.0, since=0.0, host=HostName(f"h{index}"), now=9.0).pause
--- a/tests/serving/test_load.py
+++ b/tests/serving/test_load.py
@@ -140,9 +140,8 @@
 class TestLoadShift:
     """A load that shifts from long to short prompts, on engines with few slots.
 
-    If prompts of medium length with up to 0.25 s of prefill count as short, their prefill is not
-    reported to other hosts, which queue short prompts behind it.  Of these, 93 in 100 are then on
-    time.
+    Guards against prompts with up to 0.25 s of prefill counting as short: other hosts get no report
+    of that prefill and queue short prompts behind it, of which only 93 in 100 are then on time.
     """
 
     def test_short_prompts(self) -> None:
