--- a/models/stopping_mutations.py
+++ b/models/stopping_mutations.py
@@ -83,7 +83,7 @@
 
 def begin_anything() -> AbstractContextManager[object]:
     """Begin what cannot end."""
-    return patch.object(_admission, "_too_late", lambda *known, now: None)
+    return patch.object(_admission, "_deadline_refusal", lambda *known, now: None)
 
 
 def begin_anew() -> AbstractContextManager[object]:
